--- a/Makefile
+++ b/Makefile
@@ -8,7 +8,7 @@
 RED := $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\).*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|')
 SKIP := $(if $(RED),-skip '^($(RED))$$')
 
-.PHONY: build run run-routes test check red unit integration bench measure ablation capacity verify setup generate soak soak-chat fuzz clean
+.PHONY: build run run-routes test check tools red unit integration bench measure ablation capacity verify setup generate soak soak-chat fuzz clean
 
 build:
 	$(GO) build -o bin/ ./cmd/...
@@ -33,6 +33,10 @@
 	$(GO) vet ./... ./test/...
 	cd test && $(GO) tool staticcheck github.com/croftyard/croftyard/... ./...
 
+# gopls, for renames that every use follows: bin/gopls rename -w FILE:LINE:COLUMN NEWNAME
+tools:
+	GOBIN=$(CURDIR)/bin $(GO) install golang.org/x/tools/gopls@v0.23.0
+
 unit:
 	$(GO) test -race $(SKIP) ./...
 
