--- a/test/builds/builds.go
+++ b/test/builds/builds.go
@@ -21,10 +21,12 @@
 	Oldest = "56dafcd5129a32a7b1aa31effeec12aace1a6622"
 	// Starts knows both, and nothing of copies of the store.
 	Starts = "d51716a6dcdc3665f79833a8f9ef92faee44354c"
+	// Announcements also knows copies of the store and what replicas announce in answers.
+	Announcements = "dd8f9e06db1bf721451a65671c2d0d7714132dd0"
 )
 
 // All are all of them.
-var All = []string{Oldest, Starts}
+var All = []string{Oldest, Starts, Announcements}
 
 // Program builds the daemon of a commit into a folder and returns its path.
 func Program(commit, dir string) (string, error) {
