--- a/internal/watch/outage.go
+++ b/internal/watch/outage.go
@@ -59,10 +59,10 @@
 func (w *Watcher) ended(kind readKind, err error, sent time.Time) {
 	w.outage.end(kind, err)
 	if err != nil {
-		w.turns.Failed(steady.Now())
+		w.turns.ObserveFailure(steady.Now())
 		return
 	}
-	w.turns.Answered(sent)
+	w.turns.ObserveSuccess(sent)
 }
 
 // Failure returns how long ago a read failed last, here or elsewhere, that is newer than
@@ -73,14 +73,14 @@
 }
 
 // ObservePeerFailure records that a read of another router failed at a time.
-func (w *Watcher) ObservePeerFailure(at time.Time) { w.turns.Told(at) }
+func (w *Watcher) ObservePeerFailure(at time.Time) { w.turns.ObservePeerFailure(at) }
 
 // unanswered reports whether a read failed since a time or has no answer by now, and
 // whether it is only known to be late. A failure of this router's counts for as long as
 // those of others that try in its place follow it.
 // w.mu is held.
 func (w *Watcher) unanswered(since, now time.Time) (unanswered, late bool) {
-	if w.turns.Lost() && w.turns.LastFailure().After(since) {
+	if w.turns.SourceLost() && w.turns.LastFailure().After(since) {
 		return true, w.outage.late
 	}
 	for _, began := range w.outage.began {
@@ -96,7 +96,7 @@
 func (w *Watcher) ObservePeerProof(asked, proven time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.turns.Heard(asked)
+	w.turns.ObservePeer(asked)
 	if asked.After(w.outage.asked) {
 		w.outage.asked = asked
 	}
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -92,7 +92,7 @@
 	holder   *freshness.Holder
 	balancer *balance.Balancer
 	wake     chan struct{}
-	turns    *turns.Turns
+	turns    *turns.Scheduler
 	reads    atomic.Uint64
 	failed   atomic.Uint64
 
@@ -177,4 +177,4 @@
 }
 
 // SourceFailing reports whether the last read failed and no other router had an answer since.
-func (w *Watcher) SourceFailing() bool { return w.turns.Lost() }
+func (w *Watcher) SourceFailing() bool { return w.turns.SourceLost() }
--- a/pkg/turns/turns.go
+++ b/pkg/turns/turns.go
@@ -48,8 +48,8 @@
 	Rank, Routers int
 }
 
-// Turns are those of one router. It is safe for concurrent use.
-type Turns struct {
+// Scheduler are those of one router. It is safe for concurrent use.
+type Scheduler struct {
 	mu sync.Mutex
 	// period is the pause between two reads of the fleet.
 	period time.Duration
@@ -68,19 +68,19 @@
 }
 
 // New returns the turns of a router. Seeds differ between routers.
-func New(seed uint64) *Turns {
-	return &Turns{random: rand.New(rand.NewPCG(seed, 0))}
+func New(seed uint64) *Scheduler {
+	return &Scheduler{random: rand.New(rand.NewPCG(seed, 0))}
 }
 
 // SetPeriod changes the pause between two reads of the fleet.
-func (t *Turns) SetPeriod(period time.Duration) {
+func (t *Scheduler) SetPeriod(period time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.period = period
 }
 
 // ReadAfter returns how old what is known may get before a router reads.
-func (t *Turns) ReadAfter(p Place, now time.Time) time.Duration {
+func (t *Scheduler) ReadAfter(p Place, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	last := len(readAfter) - 1
@@ -92,30 +92,30 @@
 }
 
 // alone tells whether no other router is heard. t.mu is held.
-func (t *Turns) alone(now time.Time) bool { return now.Sub(t.heard) > aloneAfter }
+func (t *Scheduler) alone(now time.Time) bool { return now.Sub(t.heard) > aloneAfter }
 
 // shared tells whether others try in turns too. t.mu is held.
-func (t *Turns) shared(now time.Time) bool {
+func (t *Scheduler) shared(now time.Time) bool {
 	untold := now.Sub(later(t.since, t.told)) > untoldAfter*t.period
 	return !t.alone(now) && !untold
 }
 
-// Heard notes that another router answered that was asked at a time.
-func (t *Turns) Heard(asked time.Time) {
+// ObservePeer notes that another router answered that was asked at a time.
+func (t *Scheduler) ObservePeer(asked time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.heard = later(t.heard, asked)
 }
 
-// Answered notes that a read which was sent at a time had an answer, here or elsewhere.
-func (t *Turns) Answered(sent time.Time) {
+// ObserveSuccess notes that a read which was sent at a time had an answer, here or elsewhere.
+func (t *Scheduler) ObserveSuccess(sent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answered = later(t.answered, sent)
 }
 
-// Failed notes that an own read failed.
-func (t *Turns) Failed(now time.Time) {
+// ObserveFailure notes that an own read failed.
+func (t *Scheduler) ObserveFailure(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.lost() {
@@ -125,8 +125,8 @@
 	t.tries++
 }
 
-// Told takes another router's word that a read failed at a time.
-func (t *Turns) Told(failed time.Time) {
+// ObservePeerFailure takes another router's word that a read failed at a time.
+func (t *Scheduler) ObservePeerFailure(failed time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.told = later(t.told, failed)
@@ -134,7 +134,7 @@
 
 // LastFailure returns when a read failed last, here or elsewhere, that is newer than any
 // read with an answer; zero if there is none.
-func (t *Turns) LastFailure() time.Time {
+func (t *Scheduler) LastFailure() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	last := later(t.failed, t.told)
@@ -146,7 +146,7 @@
 
 // Wait returns how long a router is to wait until it may read, 0 if it may now. Each tries
 // once for itself before it believes that the source answers nobody, and then in turns.
-func (t *Turns) Wait(p Place, now time.Time) time.Duration {
+func (t *Scheduler) Wait(p Place, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.lost() {
@@ -162,15 +162,15 @@
 	return max(t.failed.Add(turn).Sub(now), 0)
 }
 
-// Lost tells whether this router's last read failed, and none was answered since, here
+// SourceLost tells whether this router's last read failed, and none was answered since, here
 // or elsewhere.
-func (t *Turns) Lost() bool {
+func (t *Scheduler) SourceLost() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lost()
 }
 
-func (t *Turns) lost() bool { return t.failed.After(t.answered) }
+func (t *Scheduler) lost() bool { return t.failed.After(t.answered) }
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
--- a/pkg/turns/turns_test.go
+++ b/pkg/turns/turns_test.go
@@ -25,7 +25,7 @@
 
 // played is a router of a played fleet.
 type played struct {
-	*Turns
+	*Scheduler
 	place Place
 	// proven is when the newest read was sent that it knows of.
 	proven time.Time
@@ -45,9 +45,9 @@
 func newFleet(n int, away func(now time.Time, rank int) bool) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(1, uint64(n))), now: begin, away: away}
 	for rank := range n {
-		r := &played{Turns: New(uint64(rank)), place: Place{Rank: rank, Routers: n}, proven: begin}
+		r := &played{Scheduler: New(uint64(rank)), place: Place{Rank: rank, Routers: n}, proven: begin}
 		r.SetPeriod(testPeriod)
-		r.Heard(begin)
+		r.ObservePeer(begin)
 		f.routers = append(f.routers, r)
 	}
 	return f
@@ -75,11 +75,11 @@
 	f.calls++
 	r.own++
 	if f.away(f.now, rank) {
-		r.Failed(f.now)
+		r.ObserveFailure(f.now)
 		return
 	}
 	r.proven = f.now
-	r.Answered(f.now)
+	r.ObserveSuccess(f.now)
 }
 
 // hear has a router ask some others.
@@ -92,13 +92,13 @@
 		if other == r || other.cut {
 			continue
 		}
-		r.Heard(f.now)
+		r.ObservePeer(f.now)
 		if other.proven.After(r.proven) {
 			r.proven = other.proven
-			r.Answered(other.proven)
+			r.ObserveSuccess(other.proven)
 		}
 		if failed := other.LastFailure(); !failed.IsZero() {
-			r.Told(failed)
+			r.ObservePeerFailure(failed)
 		}
 	}
 }
@@ -188,9 +188,9 @@
 	own := 0
 	var last time.Time
 	for now := begin; now.Before(begin.Add(20 * time.Second)); now = now.Add(step) {
-		r.Heard(now)
+		r.ObservePeer(now)
 		if r.Wait(p, now) == 0 {
-			r.Failed(now)
+			r.ObserveFailure(now)
 			own++
 			if now.Sub(begin) > 4*testPeriod {
 				assert.LessOrEqual(t, now.Sub(last), testPeriod/aloneTries+step)
@@ -204,30 +204,30 @@
 func TestLostAndFoundAgain(t *testing.T) {
 	r := New(1)
 	r.SetPeriod(testPeriod)
-	r.Heard(begin)
+	r.ObservePeer(begin)
 	p := Place{Routers: 8}
-	assert.False(t, r.Lost())
+	assert.False(t, r.SourceLost())
 	assert.Zero(t, r.Wait(p, begin))
 	assert.True(t, r.LastFailure().IsZero())
 
-	r.Told(begin.Add(-time.Second))
-	assert.False(t, r.Lost(), "others' failures are not its own")
+	r.ObservePeerFailure(begin.Add(-time.Second))
+	assert.False(t, r.SourceLost(), "others' failures are not its own")
 	assert.Equal(t, begin.Add(-time.Second), r.LastFailure())
 	assert.Zero(t, r.Wait(p, begin), "it tries for itself first")
 
-	r.Failed(begin)
-	assert.True(t, r.Lost())
+	r.ObserveFailure(begin)
+	assert.True(t, r.SourceLost())
 	wait := r.Wait(p, begin)
 	assert.LessOrEqual(t, wait, testPeriod, "at some moment of the first turn")
 	assert.Zero(t, r.Wait(p, begin.Add(wait)))
-	r.Failed(begin.Add(wait))
+	r.ObserveFailure(begin.Add(wait))
 	assert.Equal(t, testPeriod, r.Wait(p, begin.Add(wait)), "eight routers, eight tries a period")
 	assert.Zero(t, r.Wait(p, begin.Add(wait+aloneAfter+time.Millisecond)), "it hears nobody any more")
 
-	r.Answered(begin.Add(wait - time.Millisecond))
-	assert.True(t, r.Lost(), "sent before it failed")
-	r.Answered(begin.Add(wait + time.Millisecond))
-	assert.False(t, r.Lost())
+	r.ObserveSuccess(begin.Add(wait - time.Millisecond))
+	assert.True(t, r.SourceLost(), "sent before it failed")
+	r.ObserveSuccess(begin.Add(wait + time.Millisecond))
+	assert.False(t, r.SourceLost())
 	assert.Zero(t, r.Wait(p, begin))
 	assert.True(t, r.LastFailure().IsZero())
 }
