--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -164,7 +164,7 @@
 	first, asks := r.gossip.turn(5)
 	assert.Equal(t, []int{0, 5}, []int{first, asks}, "a fleet in which few are heard")
 	for i := range askAll {
-		r.gossip.members.Heard(fmt.Sprintf("127.0.0.1:%d", i+1), time.Now())
+		r.gossip.members.RecordHeartbeat(fmt.Sprintf("127.0.0.1:%d", i+1), time.Now())
 	}
 	asked := make(map[int]int)
 	for range 33 {
@@ -204,7 +204,7 @@
 func TestNewsIsToldAtOnce(t *testing.T) {
 	teller, told := newRestingRouter(t, &source{}), newRestingRouter(t, &source{err: errors.New("turned away")})
 	for i := range maxPartners + 1 {
-		teller.gossip.members.Heard(fmt.Sprintf("127.0.0.1:%d", i+1), time.Now())
+		teller.gossip.members.RecordHeartbeat(fmt.Sprintf("127.0.0.1:%d", i+1), time.Now())
 	}
 	teller.gossip.partners.Relayed = []string{told.gossip.Address()}
 	teller.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a")}, time.Now())
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -66,9 +66,9 @@
 // heard notes that a member spoke, regularly if it does so in each round.
 func (g *Gossip) heard(address, dataCentre string, regularly bool, now time.Time) {
 	g.mu.Lock()
-	note := g.members.Met
+	note := g.members.RecordContact
 	if regularly {
-		note = g.members.Heard
+		note = g.members.RecordHeartbeat
 	}
 	fresh := note(address, now)
 	if dataCentre != "" {
@@ -87,7 +87,7 @@
 // left notes that a member said that it stops.
 func (g *Gossip) left(address string, now time.Time) {
 	g.mu.Lock()
-	g.members.Left(address, now)
+	g.members.RecordLeave(address, now)
 	g.mu.Unlock()
 	g.forgetForm(address)
 	g.balancer.Forget(address)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -209,7 +209,7 @@
 func (g *Gossip) Mine(task string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.members.Mine(task)
+	return g.members.OwnsTask(task)
 }
 
 // Bytes returns the bytes sent to and received from the others.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -237,15 +237,15 @@
 	g := &Gossip{options: Options{DataCentre: "here", Period: 100 * time.Millisecond}, members: membership.New("me", nil, maxPartners),
 		centres: map[string]string{"a1": "a", "a2": "a", "b1": "b", "h1": "here"}}
 	for _, address := range []string{"a1", "a2", "b1"} {
-		g.members.Heard(address, now)
+		g.members.RecordHeartbeat(address, now)
 	}
-	g.members.Heard("b1", now.Add(125*time.Millisecond))
+	g.members.RecordHeartbeat("b1", now.Add(125*time.Millisecond))
 	assert.Empty(t, g.silentCentres(now.Add(130*time.Millisecond)))
 	assert.Equal(t, []string{"a"}, g.silentCentres(now.Add(131*time.Millisecond)), "after 1.3 rounds")
 	assert.Empty(t, g.silentCentres(now.Add(time.Second)), "nobody at all is heard: the fault is here")
-	g.members.Heard("h1", now.Add(time.Second))
+	g.members.RecordHeartbeat("h1", now.Add(time.Second))
 	assert.Equal(t, []string{"a"}, g.silentCentres(now.Add(time.Second)), "b has one member, which may have died")
-	g.members.Heard("a2", now.Add(time.Second))
+	g.members.RecordHeartbeat("a2", now.Add(time.Second))
 	assert.Empty(t, g.silentCentres(now.Add(time.Second)))
 }
 
@@ -268,13 +268,13 @@
 	now := time.Now()
 	for _, table := range tables {
 		for _, address := range []string{"a", "b", "c"} {
-			table.Heard(address, now)
+			table.RecordHeartbeat(address, now)
 		}
 	}
 	for _, task := range []string{"r1", "r2", "r3", "r4", "r5"} {
 		mine := 0
 		for _, table := range tables {
-			if table.Mine(task) {
+			if table.OwnsTask(task) {
 				mine++
 			}
 		}
--- a/internal/gossip/round_test.go
+++ b/internal/gossip/round_test.go
@@ -51,7 +51,7 @@
 			list[0].DataCentre = "north"
 			r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list, Evacuated: evacuated}, time.Now())
 			for port := range maxPartners + 1 {
-				r.gossip.members.Heard(fmt.Sprintf("127.0.0.1:%d", port+1), time.Now())
+				r.gossip.members.RecordHeartbeat(fmt.Sprintf("127.0.0.1:%d", port+1), time.Now())
 			}
 			told := func() int {
 				r.gossip.tick(t.Context())
--- a/pkg/membership/bench_test.go
+++ b/pkg/membership/bench_test.go
@@ -32,8 +32,8 @@
 			table := full(routers, now)["0"]
 			b.ReportAllocs()
 			for b.Loop() {
-				table.Left("1", now)
-				table.Heard("1", now)
+				table.RecordLeave("1", now)
+				table.RecordHeartbeat("1", now)
 				table.Partners(now)
 				table.Known()
 			}
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -119,19 +119,19 @@
 	return Lifetime
 }
 
-// Heard notes that a member spoke just now, as it does in each round, and tells
+// RecordHeartbeat notes that a member spoke just now, as it does in each round, and tells
 // whether it is new.
-func (t *Table) Heard(address string, now time.Time) bool {
-	fresh := t.Met(address, now)
+func (t *Table) RecordHeartbeat(address string, now time.Time) bool {
+	fresh := t.RecordContact(address, now)
 	if m := t.members[address]; m != nil {
 		m.direct = now
 	}
 	return fresh
 }
 
-// Met notes that a member spoke just now, though it does not in each round, and
+// RecordContact notes that a member spoke just now, though it does not in each round, and
 // tells whether it is new.
-func (t *Table) Met(address string, now time.Time) bool {
+func (t *Table) RecordContact(address string, now time.Time) bool {
 	if address == t.own || address == "" {
 		return false
 	}
@@ -170,9 +170,9 @@
 	t.changes++
 }
 
-// Left notes that a member said that it stops. Rows of others that are older
+// RecordLeave notes that a member said that it stops. Rows of others that are older
 // than that do not bring it back.
-func (t *Table) Left(address string, now time.Time) {
+func (t *Table) RecordLeave(address string, now time.Time) {
 	if t.members[address] != nil {
 		t.remove(address)
 	}
@@ -294,9 +294,9 @@
 	return rank
 }
 
-// Mine tells whether a task is this router's by rendezvous hashing. Routers that
+// OwnsTask tells whether a task is this router's by rendezvous hashing. Routers that
 // know the same members agree.
-func (t *Table) Mine(task string) bool {
+func (t *Table) OwnsTask(task string) bool {
 	own := xxhash.Sum64String(t.own + task)
 	for _, m := range t.list() {
 		if xxhash.Sum64String(m.address+task) > own {
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -45,9 +45,9 @@
 			if f.tables[partner] == nil || down(partner) || cut(address, partner) {
 				continue
 			}
-			f.tables[partner].Heard(address, f.now)
+			f.tables[partner].RecordHeartbeat(address, f.now)
 			f.tables[partner].Merge(table.Sample(f.rounds, rowsTold, f.now), f.now)
-			table.Heard(partner, f.now)
+			table.RecordHeartbeat(partner, f.now)
 			table.Merge(f.tables[partner].Sample(f.rounds, rowsTold, f.now), f.now)
 		}
 		table.Expire(f.now)
@@ -105,7 +105,7 @@
 	for i := range routers {
 		table := New(fmt.Sprint(i), nil, most)
 		for j := range routers {
-			table.Heard(fmt.Sprint(j), now)
+			table.RecordHeartbeat(fmt.Sprint(j), now)
 		}
 		tables[fmt.Sprint(i)] = table
 	}
@@ -169,7 +169,7 @@
 		}
 		for mate := range tables {
 			if mate != dead {
-				table.Heard(mate, later)
+				table.RecordHeartbeat(mate, later)
 			}
 		}
 		for _, other := range table.Partners(later).Relayed {
@@ -184,9 +184,9 @@
 func TestWhoIsSilentIsForgotten(t *testing.T) {
 	now := time.Now()
 	table := New("me", nil, most)
-	assert.True(t, table.Heard("a", now))
-	assert.False(t, table.Heard("a", now))
-	assert.False(t, table.Heard("me", now))
+	assert.True(t, table.RecordHeartbeat("a", now))
+	assert.False(t, table.RecordHeartbeat("a", now))
+	assert.False(t, table.RecordHeartbeat("me", now))
 	table.Merge([]Row{{"b", 2 * time.Second}, {"c", Lifetime + 1}, {"me", 0}}, now)
 	assert.Equal(t, []Row{{"a", 0}, {"b", 2 * time.Second}}, table.Rows(now))
 	assert.Equal(t, []string{"b"}, table.Expire(now.Add(Lifetime-time.Second)))
@@ -197,11 +197,11 @@
 func TestWhoLeftIsNotBroughtBackByOldRows(t *testing.T) {
 	now := time.Now()
 	table := New("me", nil, most)
-	table.Heard("a", now)
-	table.Left("a", now)
+	table.RecordHeartbeat("a", now)
+	table.RecordLeave("a", now)
 	table.Merge([]Row{{"a", time.Second}}, now.Add(500*time.Millisecond))
 	assert.Empty(t, table.Rows(now))
-	table.Heard("a", now.Add(time.Second))
+	table.RecordHeartbeat("a", now.Add(time.Second))
 	assert.Len(t, table.Rows(now.Add(time.Second)), 1, "it started again")
 }
 
@@ -209,7 +209,7 @@
 	now := time.Now()
 	table := New("me", []string{"seed", "m01"}, most)
 	for i := range 50 {
-		table.Heard(fmt.Sprintf("m%02d", i), now)
+		table.RecordHeartbeat(fmt.Sprintf("m%02d", i), now)
 	}
 	seen, seeds := make(map[string]int), 0
 	for round := range 25 {
@@ -258,9 +258,9 @@
 func TestWhoLeftIsNotLookedFor(t *testing.T) {
 	now := time.Now()
 	table := New("me", nil, most)
-	table.Heard("died", now)
-	table.Heard("stopped", now)
-	table.Left("stopped", now)
+	table.RecordHeartbeat("died", now)
+	table.RecordHeartbeat("stopped", now)
+	table.RecordLeave("stopped", now)
 	later := now.Add(Lifetime + 1)
 	table.Expire(later)
 	assert.Equal(t, []string{"died"}, table.Partners(later).Seeds)
@@ -271,7 +271,7 @@
 func TestWhoIsHeardOfThroughOthersIsNotDirect(t *testing.T) {
 	now := time.Now()
 	table := New("me", nil, most)
-	table.Heard("a", now)
+	table.RecordHeartbeat("a", now)
 	table.Merge([]Row{{"b", 0}}, now)
 	assert.Equal(t, []Row{{"a", time.Second}}, table.Direct(now.Add(time.Second)))
 	assert.Empty(t, table.Direct(now.Add(Lifetime+1)))
@@ -291,7 +291,7 @@
 	for i := range routers {
 		table := New(address(i), nil, most)
 		for j := range routers {
-			table.Heard(address(j), now)
+			table.RecordHeartbeat(address(j), now)
 		}
 		for _, p := range table.Partners(now).All() {
 			asked[p]++
@@ -313,14 +313,14 @@
 	table := New("b", nil, 11)
 	assert.Equal(t, []string{"b"}, table.Known())
 	for _, other := range []string{"c", "a", "d"} {
-		table.Heard(other, now)
+		table.RecordHeartbeat(other, now)
 	}
 	assert.Equal(t, []string{"a", "b", "c", "d"}, table.Known())
-	table.Left("d", now)
-	table.Heard("c", now.Add(Lifetime))
+	table.RecordLeave("d", now)
+	table.RecordHeartbeat("c", now.Add(Lifetime))
 	assert.Equal(t, []string{"a"}, table.Expire(now.Add(Lifetime+time.Second)))
 	assert.Equal(t, []string{"a", "b", "c"}, table.Known(), "it may be at work behind a cut; one that said that it stops is not")
-	table.Heard("c", now.Add(lostLifetime+2*Lifetime))
+	table.RecordHeartbeat("c", now.Add(lostLifetime+2*Lifetime))
 	table.Expire(now.Add(lostLifetime + 2*Lifetime + time.Second))
 	assert.Equal(t, []string{"b", "c"}, table.Known())
 }
@@ -331,9 +331,9 @@
 	table := New("me", nil, most)
 	table.Merge([]Row{{"heard of", 0}}, now)
 	for _, address := range []string{"a", "b", "heard of", "c", "a"} {
-		table.Heard(address, now)
+		table.RecordHeartbeat(address, now)
 	}
-	table.Left("b", now)
+	table.RecordLeave("b", now)
 	assert.Equal(t, []Row{{"a", time.Second}}, table.Fresh(2, now.Add(time.Second)), "b has left")
 	assert.Equal(t, []Row{{"c", time.Second}}, table.Fresh(2, now.Add(time.Second)))
 	assert.Empty(t, table.Fresh(2, now))
@@ -348,7 +348,7 @@
 	for address, table := range tables {
 		for other := range tables {
 			if other != dead && other != address {
-				table.Heard(other, later)
+				table.RecordHeartbeat(other, later)
 			}
 		}
 	}
@@ -361,7 +361,7 @@
 		if address != dead {
 			for other := range tables {
 				if other != dead {
-					table.Heard(other, later)
+					table.RecordHeartbeat(other, later)
 				}
 			}
 			listener.MergeAlive(append(table.Alive(later), 1), later)
