--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -206,7 +206,7 @@
 	for i := range maxPartners + 1 {
 		teller.gossip.members.RecordHeartbeat(fmt.Sprintf("127.0.0.1:%d", i+1), time.Now())
 	}
-	teller.gossip.partners.Relayed = []string{told.gossip.Address()}
+	teller.gossip.partners.RelayTo = []string{told.gossip.Address()}
 	teller.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a")}, time.Now())
 	teller.gossip.tellNews(time.Now())
 	until(t, told.watcher.Known)
--- a/internal/gossip/news.go
+++ b/internal/gossip/news.go
@@ -32,7 +32,7 @@
 	for _, address := range partners.Line {
 		g.send(address, packets.of(d, address))
 	}
-	for _, address := range partners.Relayed {
+	for _, address := range partners.RelayTo {
 		g.send(address, packets.of(d, address))
 	}
 }
--- a/internal/gossip/rumors.go
+++ b/internal/gossip/rumors.go
@@ -25,7 +25,7 @@
 	d := &gossippb.Digest{AsksOnly: true}
 	encodeRumors(d, rumors, now)
 	packet := encodeDigest(d)
-	all := slices.Concat(partners.Line, partners.Relayed)
+	all := slices.Concat(partners.Line, partners.RelayTo)
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for _, address := range all[:min(rumorPartners, len(all))] {
 		g.send(address, packet)
--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -44,7 +44,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members.Merge(decodeRows(d.Member, d.HeardMs), now)
-	g.members.MergeAlive(d.Alive, now)
+	g.members.MergeAliveHashes(d.Alive, now)
 }
 
 // answer tells a router how new this one's knowledge is.
--- a/internal/gossip/silence.go
+++ b/internal/gossip/silence.go
@@ -44,7 +44,7 @@
 	anyone := false
 	look := g.members.Rows
 	if g.members.Large() {
-		look = g.members.Direct
+		look = g.members.DirectRows
 	}
 	for _, row := range look(now) {
 		centre := g.centres[row.Address]
--- a/internal/gossip/tell.go
+++ b/internal/gossip/tell.go
@@ -20,7 +20,7 @@
 // The datagrams that ask nothing are all alike, and encoded once.
 func (g *Gossip) tell(partners membership.Partners, d digests, hello bool, now time.Time) {
 	g.dropQuestions(now)
-	all := len(partners.Line) + len(partners.Relayed)
+	all := len(partners.Line) + len(partners.RelayTo)
 	first, asks := g.turn(all)
 	packets := packets{g: g}
 	for i := range all {
@@ -28,7 +28,7 @@
 		if i < len(partners.Line) {
 			address = partners.Line[i]
 		} else {
-			address, digest = partners.Relayed[i-len(partners.Line)], d.line
+			address, digest = partners.RelayTo[i-len(partners.Line)], d.line
 		}
 		unmet := g.unmet(address)
 		if unmet || (i-first+all)%all < asks {
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -30,7 +30,7 @@
 		rumors.Sender = g.server.Address()
 	}
 	g.tellsKnown(rumors, now)
-	encodeRows(rumors, g.members.Fresh(maxRows, now))
+	encodeRows(rumors, g.members.TakeNew(maxRows, now))
 	encodeRumors(rumors, told.Rumors, now)
 	if !large {
 		// In a large fleet each mark comes over many ways at once, and what is told again
@@ -50,7 +50,7 @@
 		}
 	}
 	if large && g.round/largeRounds%aliveRounds == 0 {
-		d.line.Alive = g.members.Alive(now)
+		d.line.Alive = g.members.AliveHashes(now)
 	}
 	return d
 }
--- a/pkg/membership/bench_test.go
+++ b/pkg/membership/bench_test.go
@@ -18,7 +18,7 @@
 				table.Expire(now)
 				table.Partners(now)
 				table.Known()
-				table.Alive(now)
+				table.AliveHashes(now)
 			}
 		})
 	}
--- a/pkg/membership/lines.go
+++ b/pkg/membership/lines.go
@@ -18,15 +18,15 @@
 	// Line is all members in a small fleet, and those of the own line in a large
 	// one.
 	Line []string
-	// Relayed are the members outside of the line that hear of it from this router.
-	Relayed []string
+	// RelayTo are the members outside of the line that hear of it from this router.
+	RelayTo []string
 	// Seeds are those that are no members, and one member that was lost, so that
 	// parts of a fleet that lost each other meet again.
 	Seeds []string
 }
 
 // All returns all partners.
-func (p Partners) All() []string { return slices.Concat(p.Line, p.Relayed, p.Seeds) }
+func (p Partners) All() []string { return slices.Concat(p.Line, p.RelayTo, p.Seeds) }
 
 // plan is whom a router talks to, as long as the members and the suspects are the same.
 type plan struct {
@@ -82,7 +82,7 @@
 	if !p.worked || !slices.Equal(suspects, p.suspects) {
 		p.relayed, p.suspects, p.worked = t.relays(p, suspects), suspects, true
 	}
-	return Partners{Line: p.addresses, Relayed: p.relayed, Seeds: t.strangers()}
+	return Partners{Line: p.addresses, RelayTo: p.relayed, Seeds: t.strangers()}
 }
 
 // relays returns to whom this router tells its line's sum.
@@ -152,9 +152,9 @@
 	aliveWithin = 1200 * time.Millisecond
 )
 
-// Alive names the members of the line that spoke to this router lately, for those to
+// AliveHashes names the members of the line that spoke to this router lately, for those to
 // whom it tells the line's sum: three bytes a member, where a row takes some twenty.
-func (t *Table) Alive(now time.Time) []byte {
+func (t *Table) AliveHashes(now time.Time) []byte {
 	var short []byte
 	for _, m := range t.planned().mates {
 		if now.Sub(m.direct) <= aliveWithin {
@@ -164,9 +164,9 @@
 	return short
 }
 
-// MergeAlive takes what Alive returned at another router. Those that are not known,
+// MergeAliveHashes takes what Alive returned at another router. Those that are not known,
 // and bytes left over, are passed over.
-func (t *Table) MergeAlive(short []byte, now time.Time) {
+func (t *Table) MergeAliveHashes(short []byte, now time.Time) {
 	members := t.byShort.get(t.changes, func() map[uint32]*member {
 		all := make(map[uint32]*member, len(t.members))
 		for _, m := range t.members {
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -240,9 +240,9 @@
 	return rows
 }
 
-// Direct returns the members that spoke to this router itself within Lifetime, as
+// DirectRows returns the members that spoke to this router itself within Lifetime, as
 // those do that do so in each round, with the time since, sorted by address.
-func (t *Table) Direct(now time.Time) []Row {
+func (t *Table) DirectRows(now time.Time) []Row {
 	var rows []Row
 	for _, m := range t.list() {
 		if age := now.Sub(m.direct); age <= Lifetime {
@@ -267,10 +267,10 @@
 	return rows
 }
 
-// Fresh returns members that came to this router before it knew of them, most of them
+// TakeNew returns members that came to this router before it knew of them, most of them
 // at a time, the first to come first, each once. A router that starts comes to some of
 // each line, so that all know it when these have told their partners.
-func (t *Table) Fresh(most int, now time.Time) []Row {
+func (t *Table) TakeNew(most int, now time.Time) []Row {
 	var rows []Row
 	n := min(most, len(t.fresh))
 	for _, address := range t.fresh[:n] {
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -93,7 +93,7 @@
 		}
 		assert.Equal(t, routers-4, table.Len(), "those that died are forgotten")
 		partners := table.Partners(f.now)
-		for _, p := range append(partners.Line, partners.Relayed...) {
+		for _, p := range append(partners.Line, partners.RelayTo...) {
 			assert.False(t, down(p), "and are no partners any more")
 		}
 	}
@@ -129,7 +129,7 @@
 			for _, mate := range partners.Line {
 				heard[mate][address]++
 			}
-			for _, other := range partners.Relayed {
+			for _, other := range partners.RelayTo {
 				heard[other][address]++
 				for _, mate := range partners.Line {
 					heard[other][mate]++
@@ -154,12 +154,12 @@
 	}
 	var dead string
 	for address, table := range tables {
-		if len(table.Partners(now).Relayed) > 3 {
+		if len(table.Partners(now).RelayTo) > 3 {
 			dead = address
 			break
 		}
 	}
-	orphans := tables[dead].Partners(now).Relayed
+	orphans := tables[dead].Partners(now).RelayTo
 	later := now.Add(suspectAfter)
 	taken := make(map[string]int)
 	for address, table := range tables {
@@ -172,7 +172,7 @@
 				table.RecordHeartbeat(mate, later)
 			}
 		}
-		for _, other := range table.Partners(later).Relayed {
+		for _, other := range table.Partners(later).RelayTo {
 			taken[other]++
 		}
 	}
@@ -273,8 +273,8 @@
 	table := New("me", nil, most)
 	table.RecordHeartbeat("a", now)
 	table.Merge([]Row{{"b", 0}}, now)
-	assert.Equal(t, []Row{{"a", time.Second}}, table.Direct(now.Add(time.Second)))
-	assert.Empty(t, table.Direct(now.Add(Lifetime+1)))
+	assert.Equal(t, []Row{{"a", time.Second}}, table.DirectRows(now.Add(time.Second)))
+	assert.Empty(t, table.DirectRows(now.Add(Lifetime+1)))
 }
 
 // On a day of 74 routers all talked to the same eight members in each round,
@@ -334,9 +334,9 @@
 		table.RecordHeartbeat(address, now)
 	}
 	table.RecordLeave("b", now)
-	assert.Equal(t, []Row{{"a", time.Second}}, table.Fresh(2, now.Add(time.Second)), "b has left")
-	assert.Equal(t, []Row{{"c", time.Second}}, table.Fresh(2, now.Add(time.Second)))
-	assert.Empty(t, table.Fresh(2, now))
+	assert.Equal(t, []Row{{"a", time.Second}}, table.TakeNew(2, now.Add(time.Second)), "b has left")
+	assert.Equal(t, []Row{{"c", time.Second}}, table.TakeNew(2, now.Add(time.Second)))
+	assert.Empty(t, table.TakeNew(2, now))
 }
 
 func TestALineTellsWhoOfItLives(t *testing.T) {
@@ -364,7 +364,7 @@
 					table.RecordHeartbeat(other, later)
 				}
 			}
-			listener.MergeAlive(append(table.Alive(later), 1), later)
+			listener.MergeAliveHashes(append(table.AliveHashes(later), 1), later)
 		}
 	}
 	for _, row := range listener.Rows(later) {
