--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -140,7 +140,7 @@
 		DataCentre: e.settings.DataCentre,
 		Limits:     frontLimits(b),
 		Poison:     e.poison,
-		Mine:       e.gossip.Mine,
+		Mine:       e.gossip.OwnsTask,
 		Without:    e.settings.Without,
 	}, e.watcher, e.holder, e.balancer, e.pool, e.metrics, e.log)
 	e.balancer.SetEnds(balance.Ends{
--- a/internal/entry/recall.go
+++ b/internal/entry/recall.go
@@ -27,7 +27,7 @@
 // each by one router, which tells the others.
 func (e *Entry) recall(ctx context.Context) {
 	if e.settings.Routes.FirstStart || e.outside.Held == nil || e.settings.Without.Has(mechanism.Recall) {
-		e.gossip.SetRecalled()
+		e.gossip.SetHoldersKnown()
 		return
 	}
 	if !e.waitUntil(ctx, e.watcher.Known) {
@@ -41,17 +41,17 @@
 		return
 	case <-time.After(recallWait):
 	}
-	if e.gossip.Recalled() {
+	if e.gossip.HoldersKnown() {
 		return
 	}
-	e.gossip.SetRecalled()
+	e.gossip.SetHoldersKnown()
 	table := e.holder.Current().Table
 	for _, r := range e.watcher.Replicas() {
 		service := table.Service(r.Service)
 		if service == nil || service.Engine == nil {
 			continue
 		}
-		if _, excluded := e.front.Exclusion(r.ID, steady.Now()); !excluded && e.gossip.Mine(r.ID) {
+		if _, excluded := e.front.Exclusion(r.ID, steady.Now()); !excluded && e.gossip.OwnsTask(r.ID) {
 			go e.askHeld(ctx, r)
 		}
 	}
--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -25,7 +25,7 @@
 	var seeds []string
 	for range routers {
 		r := newRouter(t, &source{err: errors.New("turned away")}, seeds...)
-		r.gossip.SetRecalled()
+		r.gossip.SetHoldersKnown()
 		if fleet = append(fleet, r); len(seeds) < 2 {
 			seeds = append(seeds, r.gossip.Address())
 		}
@@ -127,7 +127,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := newRestingRouter(t, &source{})
-			r.gossip.SetRecalled()
+			r.gossip.SetHoldersKnown()
 			now := time.Now()
 			r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a")}, now.Add(-time.Minute))
 			mark := r.watcher.Digest().Mark
@@ -197,7 +197,7 @@
 	r := newRestingRouter(t, &source{})
 	r.gossip.send("127.0.0.1:9", make([]byte, peer.MaxDatagram+1))
 	r.gossip.send("router-1:7000", []byte("x"))
-	assert.EqualValues(t, 2, r.gossip.Unsent())
+	assert.EqualValues(t, 2, r.gossip.UnsentDatagrams())
 }
 
 // A change is not kept until the next round.
--- a/internal/gossip/excerpt_test.go
+++ b/internal/gossip/excerpt_test.go
@@ -19,7 +19,7 @@
 	list, read := benchListing(replicas), time.Now().Add(-time.Minute)
 	teacher, learner := newRestingRouter(t, &source{}), newRestingRouter(t, &source{})
 	for _, r := range []*router{teacher, learner} {
-		r.gossip.SetRecalled()
+		r.gossip.SetHoldersKnown()
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: list.Replicas}, read)
 	}
 	after := append([]directory.Replica(nil), list.Replicas...)
@@ -47,5 +47,5 @@
 	assert.Equal(t, &directory.Excerpt{Parts: 16, Differ: []uint32{3}}, k.Excerpt)
 	assert.EqualValues(t, 7, k.From)
 	_, err = decodeKnowledge(&gossippb.KnowledgeReply{Replicas: text, Parts: 32}, have)
-	assert.ErrorIs(t, err, ErrPacked)
+	assert.ErrorIs(t, err, ErrMalformed)
 }
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -152,7 +152,7 @@
 	case int(reply.Parts) == len(have.Sums):
 		k.Excerpt = &directory.Excerpt{Parts: int(reply.Parts), Differ: reply.Differ, Listing: listing}
 	default:
-		return k, fmt.Errorf("%w: %d parts of a list, asked for %d", ErrPacked, reply.Parts, len(have.Sums))
+		return k, fmt.Errorf("%w: %d parts of a list, asked for %d", ErrMalformed, reply.Parts, len(have.Sums))
 	}
 	return k, nil
 }
--- a/internal/gossip/fleet_bench_test.go
+++ b/internal/gossip/fleet_bench_test.go
@@ -82,7 +82,7 @@
 	var err error
 	r.gossip, err = Start(Options{Address: "127.0.0.1:0", DataCentre: centre, Seeds: seeds, Period: benchPeriod}, r.watcher, r.balancer, event.Discard())
 	require.NoError(b, err)
-	r.gossip.SetRecalled()
+	r.gossip.SetHoldersKnown()
 	return r
 }
 
--- a/internal/gossip/forms.go
+++ b/internal/gossip/forms.go
@@ -42,9 +42,9 @@
 	return g.plain[address]
 }
 
-// Plain returns how many of the routers known are of a build that names lists in an older
+// OlderFormatPeers returns how many of the routers known are of a build that names lists in an older
 // form.
-func (g *Gossip) Plain() int {
+func (g *Gossip) OlderFormatPeers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.plain)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -198,15 +198,15 @@
 	return g.members.Rank()
 }
 
-// Recalled tells whether it is known who holds which parts.
-func (g *Gossip) Recalled() bool { return g.recalled.Load() }
+// HoldersKnown tells whether it is known who holds which parts.
+func (g *Gossip) HoldersKnown() bool { return g.recalled.Load() }
 
-// SetRecalled notes that the engines were asked, so that no peer has to be.
-func (g *Gossip) SetRecalled() { g.recalled.Store(true) }
+// SetHoldersKnown notes that the engines were asked, so that no peer has to be.
+func (g *Gossip) SetHoldersKnown() { g.recalled.Store(true) }
 
-// Mine tells whether, of the routers known, this one is to do a task: each task
+// OwnsTask tells whether, of the routers known, this one is to do a task: each task
 // is one router's, as long as all know the same routers.
-func (g *Gossip) Mine(task string) bool {
+func (g *Gossip) OwnsTask(task string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.members.OwnsTask(task)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -257,9 +257,9 @@
 	second := newRouter(t, &source{}, first.gossip.Address())
 	second.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 	until(t, func() bool { return first.gossip.Members() == 2 && second.gossip.Members() == 2 })
-	assert.False(t, second.gossip.Recalled(), "the first one knows no more than it happened to see")
-	first.gossip.SetRecalled()
-	until(t, second.gossip.Recalled)
+	assert.False(t, second.gossip.HoldersKnown(), "the first one knows no more than it happened to see")
+	first.gossip.SetHoldersKnown()
+	until(t, second.gossip.HoldersKnown)
 	assert.Len(t, second.balancer.Holders(time.Now()), 2)
 }
 
--- a/internal/gossip/life_test.go
+++ b/internal/gossip/life_test.go
@@ -26,7 +26,7 @@
 func TestWhatIsHeldAgainstACopyIsTold(t *testing.T) {
 	knew, fresh := newRestingRouter(t, &source{}), newRestingRouter(t, &source{})
 	for _, r := range []*router{knew, fresh} {
-		r.gossip.SetRecalled()
+		r.gossip.SetHoldersKnown()
 	}
 	copied := replicas("a", "b", "c")
 	copied[2].DataCentre = "north"
@@ -48,7 +48,7 @@
 	assert.Equal(t, knew.watcher.Digest(), fresh.watcher.Digest())
 
 	late := newRestingRouter(t, &source{})
-	late.gossip.SetRecalled()
+	late.gossip.SetHoldersKnown()
 	require.NoError(t, late.watcher.ApplySnapshot(snapshot(1, copied), steady.Now()))
 	late.hears(t, fresh)
 	assert.Equal(t, knew.watcher.Digest(), late.watcher.Digest(), "over a router that did not know it by itself")
@@ -87,7 +87,7 @@
 		answer, err := r.gossip.Exchange(t.Context(), d)
 		require.NoError(t, err)
 		assert.Equal(t, step.want, answer.Mark, "after %d", step.mark)
-		assert.Equal(t, step.plain, r.gossip.Plain())
+		assert.Equal(t, step.plain, r.gossip.OlderFormatPeers())
 		assert.False(t, r.watcher.ApplyPeerProof(watch.Digest{Version: 4, Mark: plain}, steady.Now()), "both name the same list")
 	}
 	reply, err := r.gossip.Knowledge(t.Context(), &gossippb.KnowledgeRequest{Version: 4, Mark: plain})
--- a/internal/gossip/pack.go
+++ b/internal/gossip/pack.go
@@ -10,8 +10,8 @@
 	"sync"
 )
 
-// ErrPacked: a packed value can't be read.
-var ErrPacked = errors.New("gossip: packed value not readable")
+// ErrMalformed: a packed value can't be read.
+var ErrMalformed = errors.New("gossip: packed value not readable")
 
 // maxUnpacked bounds what a packed value may grow to, in bytes.
 const maxUnpacked = 64 << 20
@@ -40,10 +40,10 @@
 func unpack(packed []byte, into any) error {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrPacked, err)
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if err := json.NewDecoder(io.LimitReader(reader, maxUnpacked)).Decode(into); err != nil {
-		return fmt.Errorf("%w: %w", ErrPacked, err)
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return nil
 }
--- a/internal/gossip/pack_test.go
+++ b/internal/gossip/pack_test.go
@@ -20,7 +20,7 @@
 	require.NoError(t, unpack(packed, &back))
 	assert.Equal(t, *config(7), back)
 	for _, damaged := range [][]byte{nil, []byte("{}"), packed[:len(packed)/2], append([]byte("x"), packed...)} {
-		assert.ErrorIs(t, unpack(damaged, &back), ErrPacked)
+		assert.ErrorIs(t, unpack(damaged, &back), ErrMalformed)
 	}
 }
 
--- a/internal/gossip/teach.go
+++ b/internal/gossip/teach.go
@@ -40,6 +40,6 @@
 	return true
 }
 
-// Refused returns how many questions for knowledge were not answered since too much was
+// RefusedRequests returns how many questions for knowledge were not answered since too much was
 // on its way.
-func (g *Gossip) Refused() uint64 { return g.refused.Load() }
+func (g *Gossip) RefusedRequests() uint64 { return g.refused.Load() }
--- a/internal/gossip/teach_test.go
+++ b/internal/gossip/teach_test.go
@@ -38,7 +38,7 @@
 	require.True(t, teacher.gossip.teaching.take(1<<30, time.Now()))
 	learner.gossip.learn(t.Context(), teacher.gossip.Address())
 	assert.False(t, learner.watcher.Known(), "a refusal says nothing")
-	assert.EqualValues(t, 1, teacher.gossip.Refused())
+	assert.EqualValues(t, 1, teacher.gossip.RefusedRequests())
 	teacher.gossip.teaching.until = time.Time{}
 	learner.gossip.learn(t.Context(), teacher.gossip.Address())
 	assert.True(t, learner.watcher.Known())
--- a/internal/gossip/tell.go
+++ b/internal/gossip/tell.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Unsent returns how many datagrams could not be sent.
-func (g *Gossip) Unsent() uint64 { return g.unsent.Load() }
+// UnsentDatagrams returns how many datagrams could not be sent.
+func (g *Gossip) UnsentDatagrams() uint64 { return g.unsent.Load() }
 
 // takeDatagram takes what another router sent.
 func (g *Gossip) takeDatagram(from netip.AddrPort, packet []byte) {
