--- a/internal/router/local.go
+++ b/internal/router/local.go
@@ -69,7 +69,7 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	patience := time.NewTimer(t.Saved)
+	patience := time.NewTimer(t.MaxCacheWait)
 	defer patience.Stop()
 	for {
 		select {
@@ -107,7 +107,7 @@
 	}
 	if s := r.adopted.Current(); s != nil && job.Engine != 0 {
 		cached := float64(job.PromptTokens - job.FreshTokens)
-		request.Saved = time.Duration(cached / s.Fleet.PrefillRate * float64(time.Second))
+		request.MaxCacheWait = time.Duration(cached / s.Fleet.PrefillRate * float64(time.Second))
 	}
 	return request
 }
@@ -115,7 +115,7 @@
 func (r *Router) impatient(group *owner.Group[chan verdict], t *ticket) *admission.Refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return group.Impatient(t, steady.Now())
+	return group.EndCacheWait(t, steady.Now())
 }
 
 // leave takes out a request whose caller left or whose deadline passed. It
@@ -123,7 +123,7 @@
 func (r *Router) leave(ctx context.Context, group *owner.Group[chan verdict], t *ticket) *admission.Refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !group.Leave(t) {
+	if !group.Cancel(t) {
 		return nil
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -166,7 +166,7 @@
 func (p *pool) setMeans() {
 	mean := p.layout.Mean(p.loads)
 	for _, owned := range p.owned {
-		owned.SetMean(mean)
+		owned.SetFleetMean(mean)
 	}
 }
 
@@ -174,7 +174,7 @@
 // queues of groups that are gone or idle.
 func (p *pool) pump(now time.Time) {
 	for id, owned := range p.owned {
-		owned.Pump(now)
+		owned.Dispatch(now)
 		if p.layout.Group(id) == placement.None {
 			owned.Drain(admission.NoEngine, now)
 			delete(p.owned, id)
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -39,9 +39,9 @@
 	Prefix uint64
 	// Adapter is the hash of the adapter that the engine must hold, or 0.
 	Adapter uint64
-	// Saved is the time that the token's engine saves by its cache: the longest
+	// MaxCacheWait is the time that the token's engine saves by its cache: the longest
 	// that it is worth waiting for it.
-	Saved time.Duration
+	MaxCacheWait time.Duration
 	// Bound is the operator's c for this request.
 	Bound float64
 	// LastHop tells that no other group can be asked any more.
@@ -64,8 +64,8 @@
 // Granted returns the engine that the ticket was granted, or nil.
 func (t *Ticket[T]) Granted() *Engine { return t.engine }
 
-// Patient tells whether the ticket waits for its token's engine.
-func (t *Ticket[T]) Patient() bool { return t.patient }
+// WaitsForCache tells whether the ticket waits for its token's engine.
+func (t *Ticket[T]) WaitsForCache() bool { return t.patient }
 
 // Hooks are called while a Group's method runs.
 type Hooks[T any] struct {
@@ -99,8 +99,8 @@
 	g.states = make([]placement.EngineState, len(engines))
 }
 
-// SetMean tells the mean load of the pool's engines.
-func (g *Group[T]) SetMean(mean float64) { g.fleetMean = mean }
+// SetFleetMean tells the mean load of the pool's engines.
+func (g *Group[T]) SetFleetMean(mean float64) { g.fleetMean = mean }
 
 // Waiting returns the number of tickets that wait.
 func (g *Group[T]) Waiting() int { return g.queue.Len() }
@@ -124,7 +124,7 @@
 // refused.
 func (g *Group[T]) Enter(t *Ticket[T], now time.Time) *admission.Refusal {
 	t.entered = now
-	t.patient = t.Engine != 0 && t.Saved > 0
+	t.patient = t.Engine != 0 && t.MaxCacheWait > 0
 	if g.queue.Len() == 0 && g.grantNow(t, now) {
 		return nil
 	}
@@ -141,7 +141,7 @@
 		refusal := admission.Refuse(admission.Displaced, time.Second, "the queue filled up with groups further below their share")
 		g.hooks.Reject(displaced.Payload, refusal)
 	}
-	g.Pump(now)
+	g.Dispatch(now)
 	return nil
 }
 
@@ -221,8 +221,8 @@
 	return placement.Bounds{C: t.Bound, FleetMean: mean}
 }
 
-// Pump grants waiting tickets engines, in fair order, while there are free ones.
-func (g *Group[T]) Pump(now time.Time) {
+// Dispatch grants waiting tickets engines, in fair order, while there are free ones.
+func (g *Group[T]) Dispatch(now time.Time) {
 	for g.queue.Len() > 0 {
 		var chosen *Engine
 		item := g.queue.Next(now, func(item *admission.Item[*Ticket[T]]) bool {
@@ -236,15 +236,15 @@
 	}
 }
 
-// Impatient tells that a waiting ticket's patience is over: any engine of the
+// EndCacheWait tells that a waiting ticket's patience is over: any engine of the
 // group will do, and if none is free it is refused with GroupFull unless this
 // is its last hop.
-func (g *Group[T]) Impatient(t *Ticket[T], now time.Time) *admission.Refusal {
+func (g *Group[T]) EndCacheWait(t *Ticket[T], now time.Time) *admission.Refusal {
 	if t.item == nil || !t.patient {
 		return nil
 	}
 	t.patient = false
-	g.Pump(now)
+	g.Dispatch(now)
 	if t.item == nil || !g.full(t) {
 		return nil
 	}
@@ -253,8 +253,8 @@
 	return groupFull()
 }
 
-// Leave takes a waiting ticket out. It returns false if it was not waiting.
-func (g *Group[T]) Leave(t *Ticket[T]) bool {
+// Cancel takes a waiting ticket out. It returns false if it was not waiting.
+func (g *Group[T]) Cancel(t *Ticket[T]) bool {
 	if t.item == nil {
 		return false
 	}
@@ -270,7 +270,7 @@
 		g.served.Add(now, t.Work)
 		g.learnPace(now.Sub(t.granted).Seconds() / math.Max(t.Work, 1))
 	}
-	g.Pump(now)
+	g.Dispatch(now)
 }
 
 func (g *Group[T]) learnPace(sample float64) {
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -58,7 +58,7 @@
 	b := newBench(2, 1)
 	first := ticket(func(r *Request) { r.Engine = 1 })
 	require.Nil(t, b.Enter(first, start))
-	patient := ticket(func(r *Request) { r.Engine = 1; r.Saved = time.Second })
+	patient := ticket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
 	require.Nil(t, b.Enter(patient, start))
 	assert.Nil(t, patient.Granted(), "engine 2 is free, but the cache is on engine 1")
 	other := ticket(nil)
@@ -72,11 +72,11 @@
 func TestPatienceEnds(t *testing.T) {
 	b := newBench(2, 1)
 	require.Nil(t, b.Enter(ticket(func(r *Request) { r.Engine = 1 }), start))
-	patient := ticket(func(r *Request) { r.Engine = 1; r.Saved = time.Second })
+	patient := ticket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
 	require.Nil(t, b.Enter(patient, start))
-	assert.Nil(t, b.Impatient(patient, start.Add(time.Second)))
+	assert.Nil(t, b.EndCacheWait(patient, start.Add(time.Second)))
 	assert.EqualValues(t, 2, patient.Granted().Hash)
-	assert.Nil(t, b.Impatient(patient, start.Add(time.Second)), "a second call does nothing")
+	assert.Nil(t, b.EndCacheWait(patient, start.Add(time.Second)), "a second call does nothing")
 	expectGranted(t, b, 2)
 }
 
@@ -92,15 +92,15 @@
 	last := ticket(nil)
 	require.Nil(t, b.Enter(last, start))
 	assert.Equal(t, 1, b.Waiting())
-	patient := ticket(func(r *Request) { r.LastHop = false; r.Engine = 1; r.Saved = time.Second })
+	patient := ticket(func(r *Request) { r.LastHop = false; r.Engine = 1; r.MaxCacheWait = time.Second })
 	require.Nil(t, b.Enter(patient, start))
-	assert.Equal(t, admission.GroupFull, b.Impatient(patient, start).Reason)
+	assert.Equal(t, admission.GroupFull, b.EndCacheWait(patient, start).Reason)
 	assert.Equal(t, 1, b.Waiting())
 }
 
 func TestHardBoundHoldsWhateverTheMeanOfTheGroup(t *testing.T) {
 	b := newBench(2, 0)
-	b.SetMean(8)
+	b.SetFleetMean(8)
 	n := 0
 	for b.Enter(ticket(func(r *Request) { r.LastHop = false; r.Engine = 1 }), start) == nil {
 		n++
@@ -112,7 +112,7 @@
 func TestClosedEngineGetsNothing(t *testing.T) {
 	b := newBench(2, 4)
 	b.engines[0].Closed = true
-	x := ticket(func(r *Request) { r.Engine = 1; r.Saved = time.Second })
+	x := ticket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
 	require.Nil(t, b.Enter(x, start))
 	assert.EqualValues(t, 2, x.Granted().Hash, "no waiting for an engine that leaves")
 }
@@ -133,7 +133,7 @@
 
 func TestReturningEngineIsLoadedGradually(t *testing.T) {
 	b := newBench(2, 0)
-	b.SetMean(10)
+	b.SetFleetMean(10)
 	b.engines[0].Ramp = 0.2
 	for range 14 {
 		require.Nil(t, b.Enter(ticket(nil), start))
@@ -147,8 +147,8 @@
 	gone, drained := ticket(nil), ticket(nil)
 	require.Nil(t, b.Enter(gone, start))
 	require.Nil(t, b.Enter(drained, start))
-	assert.True(t, b.Leave(gone))
-	assert.False(t, b.Leave(gone))
+	assert.True(t, b.Cancel(gone))
+	assert.False(t, b.Cancel(gone))
 	b.Drain(admission.Stopping, start)
 	require.Len(t, b.rejected, 1)
 	assert.Equal(t, admission.Stopping, b.rejected[0].Reason)
@@ -157,7 +157,7 @@
 
 func TestOthersRequestsCountAtTheBound(t *testing.T) {
 	b := newBench(2, 0)
-	b.SetMean(4)
+	b.SetFleetMean(4)
 	b.engines[0].Told(77, 4, start)
 	x := ticket(nil)
 	require.Nil(t, b.Enter(x, start))
--- a/test/measure/croftyard.go
+++ b/test/measure/croftyard.go
@@ -177,7 +177,7 @@
 	}
 	r.refresh()
 	for _, g := range r.owned {
-		g.Pump(now)
+		g.Dispatch(now)
 	}
 }
 
@@ -215,7 +215,7 @@
 func (r *simRouter) setMeans() {
 	mean := r.policy.layout(r.version).Mean(r.loads)
 	for _, g := range r.owned {
-		g.SetMean(mean)
+		g.SetFleetMean(mean)
 	}
 }
 
@@ -323,15 +323,15 @@
 		LastHop:  j.hop == maxHops,
 	}}
 	if t.Engine != 0 && c.w.spec.policy != noWait {
-		t.Saved = time.Duration(float64(j.prompt()-j.fresh) / prefillRate * float64(time.Second))
+		t.MaxCacheWait = time.Duration(float64(j.prompt()-j.fresh) / prefillRate * float64(time.Second))
 	}
 	if refusal := r.group(j.group).Enter(t, c.w.clock()); refusal != nil {
 		c.refused(j, refusal)
 		return
 	}
-	if t.Granted() == nil && t.Patient() {
-		c.w.after(t.Saved, func() {
-			if refusal := r.group(j.group).Impatient(t, c.w.clock()); refusal != nil {
+	if t.Granted() == nil && t.WaitsForCache() {
+		c.w.after(t.MaxCacheWait, func() {
+			if refusal := r.group(j.group).EndCacheWait(t, c.w.clock()); refusal != nil {
 				c.refused(j, refusal)
 			}
 		})
