--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -44,7 +44,7 @@
 	}
 	r.refreshView()
 	for _, e := range r.engines {
-		e.Refresh(now)
+		e.ExpireCounts(now)
 	}
 	for _, p := range r.pools {
 		p.refresh(r.board)
@@ -125,7 +125,7 @@
 		if e.InFlight == 0 {
 			continue
 		}
-		r.handover.Listeners(hash, r.selfHash, now, func(router uint64) {
+		r.handover.NotifyOwners(hash, r.selfHash, now, func(router uint64) {
 			counts[router] = append(counts[router], fleet.EngineCount{Engine: hash, InFlight: e.InFlight})
 		})
 	}
@@ -215,7 +215,7 @@
 func (r *Router) takeCounts(d fleet.Digest, now time.Time) {
 	for _, c := range d.Engines {
 		if e := r.engines[c.Engine]; e != nil {
-			e.Told(uint64(d.Sender), c.InFlight, now)
+			e.ObservePeerCount(uint64(d.Sender), c.InFlight, now)
 		}
 	}
 }
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -53,7 +53,7 @@
 	r.reached(e.Name, event.EngineBack)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.engine(e).Reported(running, steady.Now())
+	r.engine(e).ObserveReport(running, steady.Now())
 }
 
 func (r *Router) ownEngines() []fleet.Instance {
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -146,7 +146,7 @@
 	state := EngineState{Name: p.engines[hash].Name}
 	if e := r.engines[hash]; e != nil {
 		state.InFlight = e.InFlight
-		state.Foreign = e.Foreign()
+		state.Foreign = e.ForeignInFlight()
 		state.Closed = e.Closed
 		state.Ramp = e.Ramp
 	}
--- a/pkg/owner/engine.go
+++ b/pkg/owner/engine.go
@@ -64,30 +64,30 @@
 	return &Engine{Hash: hash, Slots: slots, Ramp: 1, prefixes: prefixes}
 }
 
-// Told takes another router's own count of its requests at the engine.
-func (e *Engine) Told(router uint64, inFlight int, now time.Time) {
+// ObservePeerCount takes another router's own count of its requests at the engine.
+func (e *Engine) ObservePeerCount(router uint64, inFlight int, now time.Time) {
 	if e.told == nil {
 		e.told = make(map[uint64]count)
 	}
 	e.told[router] = count{n: inFlight, at: now}
-	e.Refresh(now)
+	e.ExpireCounts(now)
 }
 
-// Reported takes the engine's own count of all requests. It is older than what
+// ObserveReport takes the engine's own count of all requests. It is older than what
 // this router counts itself, so it serves only to notice strangers: a
 // difference of up to a quarter of the own count is taken for the age.
-func (e *Engine) Reported(inFlight int, now time.Time) {
+func (e *Engine) ObserveReport(inFlight int, now time.Time) {
 	const noise = 0.25
 	others := inFlight - e.InFlight
 	if float64(others) <= noise*float64(e.InFlight) {
 		others = 0
 	}
 	e.reported = count{n: others, at: now}
-	e.Refresh(now)
+	e.ExpireCounts(now)
 }
 
-// Refresh lets what is known of others' requests age.
-func (e *Engine) Refresh(now time.Time) {
+// ExpireCounts lets what is known of others' requests age.
+func (e *Engine) ExpireCounts(now time.Time) {
 	sum := 0
 	for router, c := range e.told {
 		if now.Sub(c.at) > toldFor {
@@ -102,8 +102,8 @@
 	e.foreign = max(sum, e.reported.n)
 }
 
-// Foreign returns how many requests of other routers the engine is thought to run.
-func (e *Engine) Foreign() int { return e.foreign }
+// ForeignInFlight returns how many requests of other routers the engine is thought to run.
+func (e *Engine) ForeignInFlight() int { return e.foreign }
 
 func (e *Engine) remember(prefix uint64) {
 	if prefix != 0 {
--- a/pkg/owner/handover.go
+++ b/pkg/owner/handover.go
@@ -49,9 +49,9 @@
 	delete(h.previous, engine)
 }
 
-// Listeners calls tell for each other router that is to know how many requests
+// NotifyOwners calls tell for each other router that is to know how many requests
 // self runs at the engine.
-func (h *Handover) Listeners(engine, self uint64, now time.Time, tell func(router uint64)) {
+func (h *Handover) NotifyOwners(engine, self uint64, now time.Time, tell func(router uint64)) {
 	owner, known := h.current[engine]
 	if known && owner != self {
 		tell(owner)
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -158,31 +158,31 @@
 func TestOthersRequestsCountAtTheBound(t *testing.T) {
 	b := newBench(2, 0)
 	b.SetFleetMean(4)
-	b.engines[0].Told(77, 4, start)
+	b.engines[0].ObservePeerCount(77, 4, start)
 	x := ticket(nil)
 	require.Nil(t, b.Enter(x, start))
 	assert.EqualValues(t, 2, x.Granted().Hash)
-	assert.Equal(t, 4, b.engines[0].Foreign())
-	b.engines[0].Refresh(start.Add(toldFor + time.Second))
-	assert.Zero(t, b.engines[0].Foreign())
+	assert.Equal(t, 4, b.engines[0].ForeignInFlight())
+	b.engines[0].ExpireCounts(start.Add(toldFor + time.Second))
+	assert.Zero(t, b.engines[0].ForeignInFlight())
 }
 
 func TestReportNoticesStrangersOnly(t *testing.T) {
 	e := NewEngine(1, 0)
 	e.InFlight = 20
-	e.Reported(24, start)
-	assert.Zero(t, e.Foreign(), "within the report's age")
-	e.Reported(40, start)
-	assert.Equal(t, 20, e.Foreign())
-	e.Refresh(start.Add(reportFor + time.Second))
-	assert.Zero(t, e.Foreign())
+	e.ObserveReport(24, start)
+	assert.Zero(t, e.ForeignInFlight(), "within the report's age")
+	e.ObserveReport(40, start)
+	assert.Equal(t, 20, e.ForeignInFlight())
+	e.ExpireCounts(start.Add(reportFor + time.Second))
+	assert.Zero(t, e.ForeignInFlight())
 }
 
 func TestHandover(t *testing.T) {
 	const engine, self, old, other = 1, 10, 20, 30
 	h := NewHandover()
 	tells := func(now time.Time) (routers []uint64) {
-		h.Listeners(engine, self, now, func(router uint64) { routers = append(routers, router) })
+		h.NotifyOwners(engine, self, now, func(router uint64) { routers = append(routers, router) })
 		return routers
 	}
 	assert.False(t, h.SetOwner(engine, old, self, start))
--- a/test/measure/croftyard.go
+++ b/test/measure/croftyard.go
@@ -169,7 +169,7 @@
 	for hash, e := range r.engines {
 		e.Closed = r.view.Health(name(hash), now) != fleet.Live
 		e.Ramp = r.view.Ramp(name(hash), now)
-		e.Refresh(now)
+		e.ExpireCounts(now)
 	}
 	if r.policy.w.spec.policy != noHandover {
 		r.poll()
@@ -244,7 +244,7 @@
 		r.view.Failed(name(hash), w.clock())
 		return
 	}
-	r.engine(hash).Reported(w.report(truth, r.index), w.clock())
+	r.engine(hash).ObserveReport(w.report(truth, r.index), w.clock())
 }
 
 // poll asks each owned engine now and then.
@@ -264,12 +264,12 @@
 func (r *simRouter) tell() {
 	now := r.policy.w.clock()
 	for hash, e := range r.engines {
-		r.handover.Listeners(hash, r.hash(), now, func(router uint64) {
+		r.handover.NotifyOwners(hash, r.hash(), now, func(router uint64) {
 			if e.InFlight == 0 {
 				return
 			}
 			r.policy.told++
-			r.policy.byHash[router].engine(hash).Told(r.hash(), e.InFlight, now)
+			r.policy.byHash[router].engine(hash).ObservePeerCount(r.hash(), e.InFlight, now)
 		})
 	}
 }
