--- a/internal/gossip/round.go
+++ b/internal/gossip/round.go
@@ -17,7 +17,7 @@
 	lost := g.members.Expire(now)
 	large := g.members.Large()
 	partners := g.members.Partners(now)
-	known, changes := g.members.Known(), g.members.Changes()
+	known, changes := g.members.KnownAddresses(), g.members.Changes()
 	news := changes != g.routersAt
 	g.routersAt = changes
 	g.partners = partners
--- a/internal/router/local.go
+++ b/internal/router/local.go
@@ -133,9 +133,9 @@
 }
 
 func (r *Router) granted(job *Job, p *pool, group *owner.Group[chan verdict], t *ticket) (*visit, *admission.Refusal) {
-	observe(r.metrics.Waited, t.Waited())
+	observe(r.metrics.Waited, t.WaitTime())
 	r.mu.Lock()
-	engine, listed := p.engines[t.Granted().Hash]
+	engine, listed := p.engines[t.GrantedEngine().Hash]
 	r.mu.Unlock()
 	if !listed {
 		r.finish(group, t, false)
--- a/pkg/membership/bench_test.go
+++ b/pkg/membership/bench_test.go
@@ -17,7 +17,7 @@
 			for b.Loop() {
 				table.Expire(now)
 				table.Partners(now)
-				table.Known()
+				table.KnownAddresses()
 				table.AliveHashes(now)
 			}
 		})
@@ -35,7 +35,7 @@
 				table.RecordLeave("1", now)
 				table.RecordHeartbeat("1", now)
 				table.Partners(now)
-				table.Known()
+				table.KnownAddresses()
 			}
 		})
 	}
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -306,10 +306,10 @@
 	return true
 }
 
-// Known returns all routers that are members or were a while ago, this one included,
+// KnownAddresses returns all routers that are members or were a while ago, this one included,
 // sorted. Those that fell silent may be at work behind a cut. The list is not to be
 // changed; it is the same one while Changes is.
-func (t *Table) Known() []string {
+func (t *Table) KnownAddresses() []string {
 	return t.known.get(t.changes, func() []string {
 		known := []string{t.own}
 		for address := range t.members {
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -311,18 +311,18 @@
 func TestRoutersThatFellSilentAreStillKnown(t *testing.T) {
 	now := time.Now()
 	table := New("b", nil, 11)
-	assert.Equal(t, []string{"b"}, table.Known())
+	assert.Equal(t, []string{"b"}, table.KnownAddresses())
 	for _, other := range []string{"c", "a", "d"} {
 		table.RecordHeartbeat(other, now)
 	}
-	assert.Equal(t, []string{"a", "b", "c", "d"}, table.Known())
+	assert.Equal(t, []string{"a", "b", "c", "d"}, table.KnownAddresses())
 	table.RecordLeave("d", now)
 	table.RecordHeartbeat("c", now.Add(Lifetime))
 	assert.Equal(t, []string{"a"}, table.Expire(now.Add(Lifetime+time.Second)))
-	assert.Equal(t, []string{"a", "b", "c"}, table.Known(), "it may be at work behind a cut; one that said that it stops is not")
+	assert.Equal(t, []string{"a", "b", "c"}, table.KnownAddresses(), "it may be at work behind a cut; one that said that it stops is not")
 	table.RecordHeartbeat("c", now.Add(lostLifetime+2*Lifetime))
 	table.Expire(now.Add(lostLifetime + 2*Lifetime + time.Second))
-	assert.Equal(t, []string{"b", "c"}, table.Known())
+	assert.Equal(t, []string{"b", "c"}, table.KnownAddresses())
 }
 
 // A router that starts comes to some of each line, which tell their partners of it once.
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -61,8 +61,8 @@
 	engine  *Engine
 }
 
-// Granted returns the engine that the ticket was granted, or nil.
-func (t *Ticket[T]) Granted() *Engine { return t.engine }
+// GrantedEngine returns the engine that the ticket was granted, or nil.
+func (t *Ticket[T]) GrantedEngine() *Engine { return t.engine }
 
 // WaitsForCache tells whether the ticket waits for its token's engine.
 func (t *Ticket[T]) WaitsForCache() bool { return t.patient }
@@ -290,5 +290,5 @@
 	}
 }
 
-// Waited returns how long the ticket waited until it was granted an engine.
-func (t *Ticket[T]) Waited() time.Duration { return t.granted.Sub(t.entered) }
+// WaitTime returns how long the ticket waited until it was granted an engine.
+func (t *Ticket[T]) WaitTime() time.Duration { return t.granted.Sub(t.entered) }
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -50,7 +50,7 @@
 	b := newBench(3, 4)
 	x := ticket(func(r *Request) { r.Engine = 2 })
 	require.Nil(t, b.Enter(x, start))
-	assert.EqualValues(t, 2, x.Granted().Hash)
+	assert.EqualValues(t, 2, x.GrantedEngine().Hash)
 	assert.InDelta(t, 1.0/3, b.Load(), 1e-9)
 }
 
@@ -60,13 +60,13 @@
 	require.Nil(t, b.Enter(first, start))
 	patient := ticket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
 	require.Nil(t, b.Enter(patient, start))
-	assert.Nil(t, patient.Granted(), "engine 2 is free, but the cache is on engine 1")
+	assert.Nil(t, patient.GrantedEngine(), "engine 2 is free, but the cache is on engine 1")
 	other := ticket(nil)
 	require.Nil(t, b.Enter(other, start))
-	assert.EqualValues(t, 2, other.Granted().Hash, "a patient ticket holds up nobody")
+	assert.EqualValues(t, 2, other.GrantedEngine().Hash, "a patient ticket holds up nobody")
 	b.Finish(first, true, start.Add(time.Millisecond))
-	require.NotNil(t, patient.Granted())
-	assert.EqualValues(t, 1, patient.Granted().Hash)
+	require.NotNil(t, patient.GrantedEngine())
+	assert.EqualValues(t, 1, patient.GrantedEngine().Hash)
 }
 
 func TestPatienceEnds(t *testing.T) {
@@ -75,7 +75,7 @@
 	patient := ticket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
 	require.Nil(t, b.Enter(patient, start))
 	assert.Nil(t, b.EndCacheWait(patient, start.Add(time.Second)))
-	assert.EqualValues(t, 2, patient.Granted().Hash)
+	assert.EqualValues(t, 2, patient.GrantedEngine().Hash)
 	assert.Nil(t, b.EndCacheWait(patient, start.Add(time.Second)), "a second call does nothing")
 	expectGranted(t, b, 2)
 }
@@ -114,7 +114,7 @@
 	b.engines[0].Closed = true
 	x := ticket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
 	require.Nil(t, b.Enter(x, start))
-	assert.EqualValues(t, 2, x.Granted().Hash, "no waiting for an engine that leaves")
+	assert.EqualValues(t, 2, x.GrantedEngine().Hash, "no waiting for an engine that leaves")
 }
 
 func TestAdapterNeedsAnEngineThatHoldsIt(t *testing.T) {
@@ -124,10 +124,10 @@
 		x := ticket(func(r *Request) { r.Adapter = 7 })
 		require.Nil(t, b.Enter(x, start))
 		if want == 1 {
-			assert.EqualValues(t, 2, x.Granted().Hash)
+			assert.EqualValues(t, 2, x.GrantedEngine().Hash)
 			continue
 		}
-		assert.Nil(t, x.Granted(), "the others do not hold it")
+		assert.Nil(t, x.GrantedEngine(), "the others do not hold it")
 	}
 }
 
@@ -161,7 +161,7 @@
 	b.engines[0].ObservePeerCount(77, 4, start)
 	x := ticket(nil)
 	require.Nil(t, b.Enter(x, start))
-	assert.EqualValues(t, 2, x.Granted().Hash)
+	assert.EqualValues(t, 2, x.GrantedEngine().Hash)
 	assert.Equal(t, 4, b.engines[0].ForeignInFlight())
 	b.engines[0].ExpireCounts(start.Add(toldFor + time.Second))
 	assert.Zero(t, b.engines[0].ForeignInFlight())
--- a/test/measure/croftyard.go
+++ b/test/measure/croftyard.go
@@ -329,7 +329,7 @@
 		c.refused(j, refusal)
 		return
 	}
-	if t.Granted() == nil && t.WaitsForCache() {
+	if t.GrantedEngine() == nil && t.WaitsForCache() {
 		c.w.after(t.MaxCacheWait, func() {
 			if refusal := r.group(j.group).EndCacheWait(t, c.w.clock()); refusal != nil {
 				c.refused(j, refusal)
@@ -358,7 +358,7 @@
 // granted sends the request to its engine.
 func (r *simRouter) granted(t *ticket) {
 	w := r.policy.w
-	e := t.Granted()
+	e := t.GrantedEngine()
 	truth := w.byHash[e.Hash]
 	group := r.group(t.Payload.group)
 	served := !truth.leaving && w.run(truth, t.Payload.request, func() { group.Finish(t, true, w.clock()) })
