--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -187,7 +187,7 @@
 	if e.gossip == nil || e.settings.Without.Has(mechanism.Rank) {
 		return turns.Place{Routers: 1}
 	}
-	return turns.Place{Rank: e.gossip.Rank(), Routers: e.gossip.Members()}
+	return turns.Place{Rank: e.gossip.Rank(), Routers: e.gossip.MemberCount()}
 }
 
 // headerTime bounds a question for readiness.
--- a/internal/entry/recall.go
+++ b/internal/entry/recall.go
@@ -34,7 +34,7 @@
 		return
 	}
 	meeting, cancel := context.WithTimeout(ctx, peerWait)
-	e.waitUntil(meeting, func() bool { return e.gossip.Members() > 1 })
+	e.waitUntil(meeting, func() bool { return e.gossip.MemberCount() > 1 })
 	cancel()
 	select {
 	case <-ctx.Done():
--- a/internal/entry/subject.go
+++ b/internal/entry/subject.go
@@ -45,7 +45,7 @@
 		Version:    e.watcher.Digest().Version,
 		ProofMS:    e.proofAge(now).Milliseconds(),
 		Active:     e.front.Active(),
-		Routers:    e.gossip.Members(),
+		Routers:    e.gossip.MemberCount(),
 		Rank:       e.gossip.Rank(),
 	}
 	for _, r := range e.watcher.Replicas() {
@@ -93,7 +93,7 @@
 		{Name: "croftyard_source_generation", Value: float64(generation)},
 		{Name: "croftyard_source_returns", Value: float64(returns)},
 		{Name: "croftyard_source_held", Value: float64(len(facts.Replicas) + len(facts.Evacuated))},
-		{Name: "croftyard_peers_routers", Value: float64(e.gossip.Members())},
+		{Name: "croftyard_peers_routers", Value: float64(e.gossip.MemberCount())},
 		{Name: "croftyard_peers_older", Value: float64(e.gossip.OlderFormatPeers())},
 		{Name: "croftyard_peers_sent_bytes", Value: float64(sent)},
 		{Name: "croftyard_peers_received_bytes", Value: float64(received)},
--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -36,7 +36,7 @@
 func TestALargeFleetLearnsFromTheOneThatReads(t *testing.T) {
 	fleet := largeFleet(t, 2*maxPartners)
 	for _, r := range fleet {
-		until(t, func() bool { return r.gossip.Members() == len(fleet) })
+		until(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
 	}
 	for i, list := range [][]string{{"a", "b"}, {"b"}} {
 		version, read := uint64(4+i), time.Now()
@@ -56,7 +56,7 @@
 func TestALargeFleetKnowsWhatAllRun(t *testing.T) {
 	fleet := largeFleet(t, 2*maxPartners)
 	for _, r := range fleet {
-		until(t, func() bool { return r.gossip.Members() == len(fleet) })
+		until(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 		r.balancer.Started("a")
 	}
@@ -72,7 +72,7 @@
 func TestARumorComesToAllOfALargeFleet(t *testing.T) {
 	fleet := largeFleet(t, 2*maxPartners)
 	for _, r := range fleet {
-		until(t, func() bool { return r.gossip.Members() == len(fleet) })
+		until(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 	}
 	for _, r := range fleet {
@@ -187,10 +187,10 @@
 	whole := encodeDigest(&gossippb.Digest{Alive: []byte{1, 2}, Member: []string{"127.0.0.1:8"}})
 	for _, packet := range [][]byte{nil, []byte("GET / HTTP/1.1"), whole[:len(whole)-1]} {
 		r.gossip.takeDatagram(from, packet)
-		assert.Equal(t, 1, r.gossip.Members())
+		assert.Equal(t, 1, r.gossip.MemberCount())
 	}
 	r.gossip.takeDatagram(from, whole)
-	assert.Equal(t, 2, r.gossip.Members(), "its sender is where it came from; a row without an age is none")
+	assert.Equal(t, 2, r.gossip.MemberCount(), "its sender is where it came from; a row without an age is none")
 }
 
 func TestWhatCanNotBeSentIsCounted(t *testing.T) {
--- a/internal/gossip/fleet_bench_test.go
+++ b/internal/gossip/fleet_bench_test.go
@@ -66,7 +66,7 @@
 	b.ReportMetric(float64(sentBytes(fleet)-bytes)*perRouter, "B-sent/router/s")
 	known, oldest := 0, time.Duration(0)
 	for _, r := range fleet {
-		known += r.gossip.Members()
+		known += r.gossip.MemberCount()
 		oldest = max(oldest, r.watcher.Age(time.Now()))
 	}
 	b.ReportMetric(float64(known)/float64(routers), "known")
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -215,8 +215,8 @@
 // Bytes returns the bytes sent to and received from the others.
 func (g *Gossip) Bytes() (sent, received uint64) { return g.meter.Bytes() }
 
-// Members returns the number of routers known, this one included.
-func (g *Gossip) Members() int {
+// MemberCount returns the number of routers known, this one included.
+func (g *Gossip) MemberCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.members.Len()
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -135,7 +135,7 @@
 		g.gossip, err = Start(Options{Address: address, Period: time.Hour}, g.watcher, g.balancer, event.Discard())
 		require.NoError(t, err)
 		<-called
-		assert.Equal(t, 2, g.gossip.Members())
+		assert.Equal(t, 2, g.gossip.MemberCount())
 		client.Close()
 		g.gossip.stop()
 	}
@@ -154,7 +154,7 @@
 		assert.False(t, r.holder.Current().Proven.After(read), "a proof gains nothing on its way")
 		assert.Zero(t, r.source.reads)
 	}
-	until(t, func() bool { return first.gossip.Members() == 3 && third.gossip.Members() == 3 })
+	until(t, func() bool { return first.gossip.MemberCount() == 3 && third.gossip.MemberCount() == 3 })
 
 	later := time.Now()
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(5), Replicas: replicas("b")}, later)
@@ -207,7 +207,7 @@
 	for _, r := range []*router{first, second} {
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 	}
-	until(t, func() bool { return first.gossip.Members() == 2 && second.gossip.Members() == 2 })
+	until(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
 	first.balancer.Failed("a", balance.Refused, "", time.Now())
 	until(t, func() bool { return second.balancer.Suspected("a", time.Now()) })
 	assert.False(t, second.balancer.Suspected("b", time.Now()))
@@ -216,12 +216,12 @@
 func TestWhoLeavesIsForgottenAtOnce(t *testing.T) {
 	first := newRouter(t, &source{})
 	second := newRouter(t, &source{}, first.gossip.Address())
-	until(t, func() bool { return first.gossip.Members() == 2 && second.gossip.Members() == 2 })
+	until(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
 	second.gossip.Leave()
-	until(t, func() bool { return first.gossip.Members() == 1 })
+	until(t, func() bool { return first.gossip.MemberCount() == 1 })
 	// Whoever asks it is told as well, so that it is not taken for back.
 	first.gossip.exchange(context.Background(), second.gossip.Address(), &gossippb.Digest{Sender: first.gossip.Address()})
-	assert.Equal(t, 1, first.gossip.Members())
+	assert.Equal(t, 1, first.gossip.MemberCount())
 }
 
 func TestDamagedDigestsAreReadAsFarAsTheyGo(t *testing.T) {
@@ -256,7 +256,7 @@
 	first.balancer.Held("a", parts, time.Now())
 	second := newRouter(t, &source{}, first.gossip.Address())
 	second.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
-	until(t, func() bool { return first.gossip.Members() == 2 && second.gossip.Members() == 2 })
+	until(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
 	assert.False(t, second.gossip.HoldersKnown(), "the first one knows no more than it happened to see")
 	first.gossip.SetHoldersKnown()
 	until(t, second.gossip.HoldersKnown)
--- a/internal/gossip/marks_test.go
+++ b/internal/gossip/marks_test.go
@@ -43,7 +43,7 @@
 		fleet = append(fleet, newRouter(t, &source{}, first.gossip.Address()))
 	}
 	for _, r := range fleet {
-		until(t, func() bool { return r.gossip.Members() == len(fleet) })
+		until(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
 	}
 	crashAtThree(fleet)
 	until(t, func() bool { return held(fleet) })
--- a/internal/gossip/silent_test.go
+++ b/internal/gossip/silent_test.go
@@ -17,10 +17,10 @@
 	require.NoError(t, err)
 	t.Cleanup(relay.Close)
 	teller.gossip.exchange(context.Background(), relay.Address(), &gossippb.Digest{Sender: "10.0.0.1:1"})
-	require.Equal(t, 2, told.gossip.Members())
+	require.Equal(t, 2, told.gossip.MemberCount())
 	relay.Silence()
 
 	teller.gossip.exchange(context.Background(), relay.Address(), &gossippb.Digest{Sender: "10.0.0.2:1"})
-	assert.Equal(t, 3, told.gossip.Members(), "what a digest tells is told once: it must not be lost")
+	assert.Equal(t, 3, told.gossip.MemberCount(), "what a digest tells is told once: it must not be lost")
 	assert.Equal(t, 2, relay.Opened())
 }
