--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -85,9 +85,9 @@
 func (c *call) evacuated() bool { return c.front.balancer.Evacuated(c.service.Name) }
 
 // question asks for a replica that was not tried and is not excluded.
-func (c *call) question(excluded []string) balance.Question {
+func (c *call) question(excluded []string) balance.Request {
 	tried := slices.Concat(c.tried, excluded)
-	q := balance.Question{Service: c.service.Name, DataCentre: c.front.options.DataCentre, Tried: tried, ColdRate: c.service.ColdRate}
+	q := balance.Request{Service: c.service.Name, DataCentre: c.front.options.DataCentre, Tried: tried, ColdRate: c.service.ColdRate}
 	if c.service.Engine != nil {
 		q.Parts = c.parts
 	}
--- a/internal/front/wait_test.go
+++ b/internal/front/wait_test.go
@@ -183,7 +183,7 @@
 		f.watcher.ApplySnapshot(watch.Snapshot{Config: &config, Replicas: replicas}, time.Now())
 		f.SetLimits(Limits{KeyProof: time.Hour, AbsenceProof: time.Hour, RetryReserve: 1})
 		f.balancer.Failed("r0", balance.Unreachable, "here", time.Now())
-		_, _ = f.balancer.Pick(balance.Question{Service: "s"}, time.Now())
+		_, _ = f.balancer.Pick(balance.Request{Service: "s"}, time.Now())
 		begun := time.Now()
 		answer := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodPost, "http://h/once/x", nil)
--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -62,7 +62,7 @@
 	}
 	for _, r := range fleet {
 		until(t, func() bool {
-			choice, found := r.balancer.Pick(balance.Question{Service: "s", Tried: []string{"b"}}, time.Now())
+			choice, found := r.balancer.Pick(balance.Request{Service: "s", Tried: []string{"b"}}, time.Now())
 			return found && choice.Load == float64(len(fleet))
 		})
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -185,7 +185,7 @@
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list}, time.Now())
 	until(t, func() bool {
 		// Long after the start, but long before it is warm.
-		_, found := r.balancer.Pick(balance.Question{Service: "s", ColdRate: 1}, time.Now().Add(time.Minute))
+		_, found := r.balancer.Pick(balance.Request{Service: "s", ColdRate: 1}, time.Now().Add(time.Minute))
 		return found
 	})
 }
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -29,8 +29,8 @@
 	Tokens int
 }
 
-// Question asks for a replica.
-type Question struct {
+// Request asks for a replica.
+type Request struct {
 	Service string
 	// DataCentre is the asker's; replicas there are preferred where equal.
 	DataCentre string
@@ -232,7 +232,7 @@
 func (b *Balancer) holdersUnknown() bool { return b.large || !b.recalled }
 
 // Pick chooses a replica, or returns false if the service has none that is left.
-func (b *Balancer) Pick(q Question, now time.Time) (Choice, bool) {
+func (b *Balancer) Pick(q Request, now time.Time) (Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := b.services[q.Service]
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -33,7 +33,7 @@
 
 func pick(t *testing.T, b *Balancer, parts []Part, now time.Time, tried ...string) Choice {
 	t.Helper()
-	c, found := b.Pick(Question{Service: "llm", DataCentre: "dc0", Parts: parts, Tried: tried}, now)
+	c, found := b.Pick(Request{Service: "llm", DataCentre: "dc0", Parts: parts, Tried: tried}, now)
 	require.True(t, found)
 	return c
 }
@@ -215,9 +215,9 @@
 	b.Started("i-0")
 	b.Started("i-0")
 	assert.NotEqual(t, "i-0", pick(t, b, nil, start).Replica.ID)
-	_, found := b.Pick(Question{Service: "llm", Tried: []string{"i-0", "i-1", "i-2"}}, start)
+	_, found := b.Pick(Request{Service: "llm", Tried: []string{"i-0", "i-1", "i-2"}}, start)
 	assert.False(t, found)
-	_, found = b.Pick(Question{Service: "none"}, start)
+	_, found = b.Pick(Request{Service: "none"}, start)
 	assert.False(t, found)
 }
 
--- a/pkg/balance/bench_test.go
+++ b/pkg/balance/bench_test.go
@@ -17,7 +17,7 @@
 		}
 		balancer.Merge(fmt.Sprint(router), t, now)
 	}
-	question := Question{Service: "llm", DataCentre: "dc0", Parts: prompt(5)}
+	question := Request{Service: "llm", DataCentre: "dc0", Parts: prompt(5)}
 	b.ReportAllocs()
 	for b.Loop() {
 		balancer.Pick(question, now)
@@ -41,7 +41,7 @@
 				}
 				balancer.MergeLine(Line{line, 16}, told, Rumors{}, now)
 			}
-			question := Question{Service: "llm", DataCentre: "dc0", Parts: prompt(5)}
+			question := Request{Service: "llm", DataCentre: "dc0", Parts: prompt(5)}
 			b.ReportAllocs()
 			for b.Loop() {
 				balancer.Pick(question, now)
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -112,13 +112,13 @@
 }
 
 // isCold tells whether a replica bears less than a warm one.
-func isCold(r directory.Replica, q Question, now time.Time) bool {
+func isCold(r directory.Replica, q Request, now time.Time) bool {
 	return q.ColdRate > 0 && now.Before(r.ColdUntil)
 }
 
 // candidates returns the replicas that may get a request: the warm ones, and where
 // none of them has room also the cold ones to which this router may send one.
-func (b *Balancer) candidates(q Question, all []*replica, bound float64, now time.Time) []*replica {
+func (b *Balancer) candidates(q Request, all []*replica, bound float64, now time.Time) []*replica {
 	left := make([]*replica, 0, len(all))
 	var cold []*replica
 	for _, r := range all {
@@ -146,7 +146,7 @@
 
 // spend takes a request from the allowance of a chosen replica that is cold, and
 // returns the reason of the choice.
-func (b *Balancer) spend(chosen *replica, q Question, reason Reason, now time.Time) Reason {
+func (b *Balancer) spend(chosen *replica, q Request, reason Reason, now time.Time) Reason {
 	if !isCold(chosen.Replica, q, now) {
 		return reason
 	}
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -44,8 +44,8 @@
 	return b
 }
 
-func question(part uint64) Question {
-	return Question{Service: "llm", DataCentre: "dc0", Parts: prompt(part), ColdRate: coldRate}
+func question(part uint64) Request {
+	return Request{Service: "llm", DataCentre: "dc0", Parts: prompt(part), ColdRate: coldRate}
 }
 
 func TestAColdReplicaGetsNothingWhileAWarmOneHasRoom(t *testing.T) {
@@ -69,7 +69,7 @@
 func TestAServiceThatBearsTheSameWhenColdIsNotHeldBack(t *testing.T) {
 	b := settled(chill(engines(1), start.Add(time.Minute), 0), "a", []string{"a", "b", "c", "d", "e"})
 	for range 50 {
-		_, found := b.Pick(Question{Service: "llm", Parts: prompt(1)}, start)
+		_, found := b.Pick(Request{Service: "llm", Parts: prompt(1)}, start)
 		assert.True(t, found)
 	}
 }
@@ -91,7 +91,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := settled(chill(engines(2), start.Add(time.Minute), 0), "a", []string{"a"})
 			c.spoil(b)
-			q := Question{Service: "llm", DataCentre: "dc0", Parts: c.parts, ColdRate: coldRate}
+			q := Request{Service: "llm", DataCentre: "dc0", Parts: c.parts, ColdRate: coldRate}
 			if name == "a prompt, the others tried" {
 				q.Tried = []string{"i-1"}
 			}
@@ -107,7 +107,7 @@
 
 // sendAll has routers ask for a replica 100 times a second each, and returns the most
 // that each replica got within any second.
-func sendAll(t *testing.T, routers []*Balancer, q Question, length time.Duration) map[string]int {
+func sendAll(t *testing.T, routers []*Balancer, q Request, length time.Duration) map[string]int {
 	t.Helper()
 	arrivals := make(map[string][]time.Time)
 	most := make(map[string]int)
@@ -156,7 +156,7 @@
 					routers = append(routers, settled(list, own, group))
 				}
 			}
-			q := Question{Service: "llm", DataCentre: "dc0", Parts: c.parts, ColdRate: coldRate}
+			q := Request{Service: "llm", DataCentre: "dc0", Parts: c.parts, ColdRate: coldRate}
 			most := sendAll(t, routers, q, 4*time.Second)
 			assert.Len(t, most, n, "each is used")
 			for id, got := range most {
--- a/pkg/balance/engine.go
+++ b/pkg/balance/engine.go
@@ -48,7 +48,7 @@
 // Where no engine is both sound and below the bound, the least bad ones are
 // chosen among in the same way, within a bound of their own: parts that were
 // spread over all of them by load alone would have to be copied or read again.
-func (b *Balancer) pickEngine(q Question, left []*replica, bound float64, now time.Time) (chosen, home *replica, reason Reason) {
+func (b *Balancer) pickEngine(q Request, left []*replica, bound float64, now time.Time) (chosen, home *replica, reason Reason) {
 	key := homeKey(q.Parts)
 	home = firstByHome(left, key, func(*replica) bool { return true })
 	fits := func(r *replica) bool { return b.fits(r, bound, now) }
--- a/pkg/balance/enginefleet_test.go
+++ b/pkg/balance/enginefleet_test.go
@@ -259,7 +259,7 @@
 
 func (f *engineFleet) send(k *requestKind, router int, parts []Part, tried []string, arrived time.Time) {
 	b := f.routers[router]
-	choice, found := b.Pick(Question{Service: "llm", DataCentre: fmt.Sprintf("dc%d", router%centres), Parts: parts, Tried: tried}, f.now)
+	choice, found := b.Pick(Request{Service: "llm", DataCentre: fmt.Sprintf("dc%d", router%centres), Parts: parts, Tried: tried}, f.now)
 	if !found {
 		f.stats.failed++
 		return
--- a/pkg/balance/near_test.go
+++ b/pkg/balance/near_test.go
@@ -17,7 +17,7 @@
 }
 
 func pickFrom(b *Balancer, centre string, parts []Part) Choice {
-	c, _ := b.Pick(Question{Service: "llm", DataCentre: centre, Parts: parts}, start)
+	c, _ := b.Pick(Request{Service: "llm", DataCentre: centre, Parts: parts}, start)
 	return c
 }
 
--- a/pkg/balance/plain.go
+++ b/pkg/balance/plain.go
@@ -11,7 +11,7 @@
 const awayPenalty = 1.5
 
 // pickPlain chooses a replica of a service that keeps nothing between requests.
-func (b *Balancer) pickPlain(q Question, left []*replica, now time.Time) (*replica, Reason) {
+func (b *Balancer) pickPlain(q Request, left []*replica, now time.Time) (*replica, Reason) {
 	// A random start makes routers that know the same choose differently.
 	b.random.Shuffle(len(left), func(i, j int) { left[i], left[j] = left[j], left[i] })
 	sound := b.leastBad(left, now)
@@ -42,14 +42,14 @@
 }
 
 // plainLoad is a replica's load with what the way to it weighs.
-func (b *Balancer) plainLoad(q Question, r *replica, now time.Time) float64 {
+func (b *Balancer) plainLoad(q Request, r *replica, now time.Time) float64 {
 	if r.DataCentre != q.DataCentre {
 		return math.Floor(b.load(r, now)) + awayPenalty
 	}
 	return math.Floor(b.load(r, now))
 }
 
-func (b *Balancer) lowest(q Question, list []*replica, now time.Time) *replica {
+func (b *Balancer) lowest(q Request, list []*replica, now time.Time) *replica {
 	return slices.MinFunc(list, func(x, y *replica) int {
 		return cmp.Compare(b.plainLoad(q, x, now), b.plainLoad(q, y, now))
 	})
@@ -58,7 +58,7 @@
 // drawByLoad draws one, the likelier the less loaded it is. In a large fleet the
 // others' counts are a round of telling old: if all routers took the least loaded
 // one they would fill it, turn to the next, and fill that.
-func (b *Balancer) drawByLoad(q Question, list []*replica, now time.Time) *replica {
+func (b *Balancer) drawByLoad(q Request, list []*replica, now time.Time) *replica {
 	weights := make([]float64, len(list))
 	total := 0.0
 	for i, r := range list {
--- a/pkg/balance/plainfleet_test.go
+++ b/pkg/balance/plainfleet_test.go
@@ -116,7 +116,7 @@
 // send asks a replica, and another one if that is full.
 func (f *plainFleet) send(r *plainRequest) {
 	router := f.routers[r.router]
-	choice, found := router.Pick(Question{Service: "plain", DataCentre: fmt.Sprintf("dc%d", r.router%5), Tried: r.tried}, f.now)
+	choice, found := router.Pick(Request{Service: "plain", DataCentre: fmt.Sprintf("dc%d", r.router%5), Tried: r.tried}, f.now)
 	if !found || len(r.tried) == 2 {
 		f.stats.refused++
 		return
--- a/pkg/balance/rest_test.go
+++ b/pkg/balance/rest_test.go
@@ -32,7 +32,7 @@
 			b.Rests("a", start.Add(time.Second))
 			got := 0
 			for range 24 {
-				choice, found := b.Pick(Question{Service: "s", Parts: test.parts}, end.Add(test.after))
+				choice, found := b.Pick(Request{Service: "s", Parts: test.parts}, end.Add(test.after))
 				assert.True(t, found)
 				b.Started(choice.Replica.ID)
 				if choice.Replica.ID == "a" {
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -76,7 +76,7 @@
 	b.Answered("a", sharedPrompt(), now)
 	b.Replace([]directory.Replica{{ID: "a", State: directory.Unusable}, {ID: "b", Service: "s", Address: "b:1"}}, now)
 	for range 20 {
-		choice, found := b.Pick(Question{Service: "s", Parts: sharedPrompt()}, now)
+		choice, found := b.Pick(Request{Service: "s", Parts: sharedPrompt()}, now)
 		assert.True(t, found)
 		assert.Equal(t, "b", choice.Replica.ID)
 		assert.Empty(t, choice.Source)
