--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -90,7 +90,7 @@
 	g.members.RecordLeave(address, now)
 	g.mu.Unlock()
 	g.forgetForm(address)
-	g.balancer.Forget(address)
+	g.balancer.RemovePeer(address)
 }
 
 // learn takes the knowledge of another router, of one at a time: when something
--- a/internal/gossip/round.go
+++ b/internal/gossip/round.go
@@ -62,7 +62,7 @@
 // noteLost forgets members that fell silent.
 func (g *Gossip) noteLost(members []string) {
 	for _, address := range members {
-		g.balancer.Forget(address)
+		g.balancer.RemovePeer(address)
 		g.forgetForm(address)
 		g.mu.Lock()
 		delete(g.missed, address)
--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -103,7 +103,7 @@
 		g.balancer.MergeLine(balance.Line{Number: int(d.Line), Of: int(d.Lines)}, line, told.Rumors, now)
 		return
 	}
-	g.balancer.Merge(d.Sender, told, now)
+	g.balancer.MergePeer(d.Sender, told, now)
 }
 
 // packed is one state of a value in the wire form.
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -22,7 +22,7 @@
 
 // digests returns what is told in this round.
 func (g *Gossip) digests(now time.Time, large bool) digests {
-	told := g.balancer.Tell(now)
+	told := g.balancer.TakePeerUpdate(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	rumors := &gossippb.Digest{Stopping: g.stopped}
@@ -131,8 +131,8 @@
 
 // decode reads a digest. Columns of unequal length are read as far as they all
 // go, so that a damaged message cannot harm.
-func decode(d *gossippb.Digest, now time.Time) balance.Told {
-	var t balance.Told
+func decode(d *gossippb.Digest, now time.Time) balance.PeerUpdate {
+	var t balance.PeerUpdate
 	for i := range min(len(d.Replica), len(d.Running)) {
 		t.Running = append(t.Running, balance.Count{Replica: d.Replica[i], Running: int(d.Running[i])})
 	}
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -69,11 +69,11 @@
 func TestWhatOthersRunCounts(t *testing.T) {
 	b := newBalancer(engines(12))
 	home := pick(t, b, prompt(5), start).Replica.ID
-	b.Merge("other", Told{Running: []Count{{Replica: Hash(home), Running: 9}}}, start)
+	b.MergePeer("other", PeerUpdate{Running: []Count{{Replica: Hash(home), Running: 9}}}, start)
 	assert.NotEqual(t, home, pick(t, b, prompt(5), start).Replica.ID)
 	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(2*peerLife)).Replica.ID, "old counts say nothing")
-	b.Merge("other", Told{Running: []Count{{Replica: Hash(home), Running: 9}}}, start)
-	b.Forget("other")
+	b.MergePeer("other", PeerUpdate{Running: []Count{{Replica: Hash(home), Running: 9}}}, start)
+	b.RemovePeer("other")
 	assert.Equal(t, home, pick(t, b, prompt(5), start).Replica.ID)
 }
 
@@ -105,10 +105,10 @@
 	one, two := newBalancer(engines(12)), newBalancer(engines(12))
 	home := pick(t, one, prompt(5), start)
 	one.Answered(home.Replica.ID, prompt(5), start)
-	told := one.Tell(start)
+	told := one.TakePeerUpdate(start)
 	assert.Len(t, told.Holders, 2, "each shared part")
-	assert.Empty(t, one.Tell(start).Holders, "once")
-	two.Merge("one", told, start)
+	assert.Empty(t, one.TakePeerUpdate(start).Holders, "once")
+	two.MergePeer("one", told, start)
 	c := pick(t, two, prompt(5), start, home.Replica.ID)
 	assert.Equal(t, home.Replica.Address, c.Source, "from the holder")
 	c = pick(t, two, prompt(6), start, home.Replica.ID)
@@ -170,7 +170,7 @@
 	c := pick(t, b, prompt(5), start)
 	assert.NotEqual(t, home, c.Replica.ID)
 	assert.Equal(t, home, c.Passed)
-	other.Merge("b", b.Tell(start), start)
+	other.MergePeer("b", b.TakePeerUpdate(start), start)
 	assert.True(t, other.Suspected(home, start))
 	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(time.Minute)).Replica.ID)
 }
@@ -273,8 +273,8 @@
 
 func TestAFailureThatIsToldLateCountsFromWhenItWasSeen(t *testing.T) {
 	b := newBalancer(engines(3))
-	late := Told{Rumors: Rumors{Failures: []SeenFailure{{Hash("i-0"), Shed, start.Add(-time.Second)}, {Hash("i-1"), Refused, start.Add(-500 * time.Millisecond)}}}}
-	b.Merge("other", late, start)
+	late := PeerUpdate{Rumors: Rumors{Failures: []SeenFailure{{Hash("i-0"), Shed, start.Add(-time.Second)}, {Hash("i-1"), Refused, start.Add(-500 * time.Millisecond)}}}}
+	b.MergePeer("other", late, start)
 	assert.False(t, b.Suspected("i-0", start), "its time is over")
 	assert.True(t, b.Suspected("i-1", start))
 	assert.False(t, b.Suspected("i-1", start.Add(501*time.Millisecond)))
--- a/pkg/balance/bench_test.go
+++ b/pkg/balance/bench_test.go
@@ -11,11 +11,11 @@
 	balancer := newBalancer(engines(150))
 	now := time.Now()
 	for router := range 73 {
-		var t Told
+		var t PeerUpdate
 		for i := range 10 {
 			t.Running = append(t.Running, Count{Replica: Hash(fmt.Sprintf("i-%d", (router*7+i)%150)), Running: 1})
 		}
-		balancer.Merge(fmt.Sprint(router), t, now)
+		balancer.MergePeer(fmt.Sprint(router), t, now)
 	}
 	question := Request{Service: "llm", DataCentre: "dc0", Parts: prompt(5)}
 	b.ReportAllocs()
--- a/pkg/balance/evidence_test.go
+++ b/pkg/balance/evidence_test.go
@@ -29,7 +29,7 @@
 		}
 		assert.True(t, b.Suspected("i-4", start), kind)
 		assert.False(t, b.Suspected("i-5", start), kind)
-		other.Merge("b", b.Tell(start), start)
+		other.MergePeer("b", b.TakePeerUpdate(start), start)
 		assert.True(t, other.Suspected("i-4", start), "told, %s", kind)
 	}
 }
@@ -95,14 +95,14 @@
 		b.own("llm").failed(start)
 	}
 	b.Failed("i-4", Errored, "dc0", start)
-	assert.Empty(t, b.Tell(start).Failures)
+	assert.Empty(t, b.TakePeerUpdate(start).Failures)
 	other := newBalancer(engines(12))
 	other.SetLarge(true)
-	other.Merge("b", Told{Rumors: Rumors{Failures: []SeenFailure{{Hash("i-4"), Errored, start}}}}, start)
+	other.MergePeer("b", PeerUpdate{Rumors: Rumors{Failures: []SeenFailure{{Hash("i-4"), Errored, start}}}}, start)
 	assert.True(t, other.Suspected("i-4", start))
-	assert.Len(t, other.Tell(start).Failures, 1)
-	other.Merge("b", Told{Rumors: Rumors{Failures: []SeenFailure{{Hash("i-4"), Errored, start}}}}, start)
-	assert.Empty(t, other.Tell(start).Failures)
+	assert.Len(t, other.TakePeerUpdate(start).Failures, 1)
+	other.MergePeer("b", PeerUpdate{Rumors: Rumors{Failures: []SeenFailure{{Hash("i-4"), Errored, start}}}}, start)
+	assert.Empty(t, other.TakePeerUpdate(start).Failures)
 }
 
 // One answer that was lost is no hang, here or at the routers of a large fleet, which believe
--- a/pkg/balance/load_test.go
+++ b/pkg/balance/load_test.go
@@ -44,7 +44,7 @@
 	}
 	// The first three are one line, of which the third tells the fourth.
 	for i, b := range list[:2] {
-		list[2].Merge(fmt.Sprint(i), b.Tell(start), start)
+		list[2].MergePeer(fmt.Sprint(i), b.TakePeerUpdate(start), start)
 	}
 	sums := list[2].TellLine(start)
 	assert.Equal(t, []Count{{Replica: Hash(home), Running: 2 + 3 + 4}}, sums.Named)
@@ -119,11 +119,11 @@
 	b := largeFleet(1)[0]
 	for _, late := range []time.Duration{0, 3 * time.Millisecond, 300 * time.Millisecond} {
 		seen := start.Add(late)
-		b.Merge("other", Told{Rumors: Rumors{
+		b.MergePeer("other", PeerUpdate{Rumors: Rumors{
 			Failures: []SeenFailure{{Hash("i-2"), Refused, seen}},
 			Holders:  []Holding{{Part: 77, Replica: Hash("i-3")}},
 		}}, seen.Add(10*time.Millisecond))
-		told := b.Tell(seen.Add(20 * time.Millisecond))
+		told := b.TakePeerUpdate(seen.Add(20 * time.Millisecond))
 		first := late == 0
 		assert.Equal(t, first, len(told.Failures) == 1)
 		assert.Equal(t, first, len(told.Holders) == 1)
@@ -135,16 +135,16 @@
 	b := largeFleet(1)[0]
 	home := pick(t, b, prompt(5), start).Replica.ID
 	b.Answered(home, prompt(5), start)
-	assert.Empty(t, b.Tell(start).Holders, "the first home")
+	assert.Empty(t, b.TakePeerUpdate(start).Holders, "the first home")
 	second := pick(t, b, prompt(5), start, home).Replica.ID
 	b.Answered(second, prompt(5), start)
-	assert.Equal(t, []Holding{{prompt(5)[1].ID, Hash(second)}}, b.Tell(start).Holders)
+	assert.Equal(t, []Holding{{prompt(5)[1].ID, Hash(second)}}, b.TakePeerUpdate(start).Holders)
 }
 
 func TestOldFailuresAreNotPassedOn(t *testing.T) {
 	b := largeFleet(1)[0]
-	b.Merge("other", Told{Rumors: Rumors{Failures: []SeenFailure{{Hash("i-2"), Refused, start.Add(-rumorLife - 1)}}}}, start)
-	assert.Empty(t, b.Tell(start).Failures)
+	b.MergePeer("other", PeerUpdate{Rumors: Rumors{Failures: []SeenFailure{{Hash("i-2"), Refused, start.Add(-rumorLife - 1)}}}}, start)
+	assert.Empty(t, b.TakePeerUpdate(start).Failures)
 }
 
 func TestTheBoundFollowsWhatTheUsersAllow(t *testing.T) {
--- a/pkg/balance/peers.go
+++ b/pkg/balance/peers.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Told is what one router tells the others. Replicas are named by Hash of
+// PeerUpdate is what one router tells the others. Replicas are named by Hash of
 // their ids.
-type Told struct {
+type PeerUpdate struct {
 	Running []Count
 	Rumors
 }
@@ -52,11 +52,11 @@
 	}
 }
 
-// Tell returns what the others are to know, each failure and holder once.
-func (b *Balancer) Tell(now time.Time) Told {
+// TakePeerUpdate returns what the others are to know, each failure and holder once.
+func (b *Balancer) TakePeerUpdate(now time.Time) PeerUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	told := Told{Rumors: b.untold}
+	told := PeerUpdate{Rumors: b.untold}
 	b.untold = Rumors{}
 	for _, r := range b.replicas {
 		if r.running > 0 {
@@ -66,9 +66,9 @@
 	return told
 }
 
-// Merge takes what another router told of itself, of its own line in a large
+// MergePeer takes what another router told of itself, of its own line in a large
 // fleet.
-func (b *Balancer) Merge(router string, t Told, now time.Time) {
+func (b *Balancer) MergePeer(router string, t PeerUpdate, now time.Time) {
 	b.mu.Lock()
 	b.peers[router] = newPeerCounts(t.Running, now)
 	b.totals = nil
@@ -76,8 +76,8 @@
 	b.unlockAndTell()
 }
 
-// Forget drops what a router told that is no longer there.
-func (b *Balancer) Forget(router string) {
+// RemovePeer drops what a router told that is no longer there.
+func (b *Balancer) RemovePeer(router string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.peers, router)
--- a/pkg/balance/plain_test.go
+++ b/pkg/balance/plain_test.go
@@ -12,13 +12,13 @@
 // those that were full turned away 1,189 of 12,746 in the day.
 func TestALargeFleetDoesNotFillOneReplicaAfterTheOther(t *testing.T) {
 	const routers = 300
-	told := Told{Running: []Count{{Hash("i-0"), 6}, {Hash("i-1"), 12}, {Hash("i-2"), 0}}}
+	told := PeerUpdate{Running: []Count{{Hash("i-0"), 6}, {Hash("i-1"), 12}, {Hash("i-2"), 0}}}
 	got := make(map[string]int)
 	for seed := range uint64(routers) {
 		b := New(seed)
 		b.Replace(engines(3), start)
 		b.SetLarge(true)
-		b.Merge("other", told, start)
+		b.MergePeer("other", told, start)
 		got[pick(t, b, nil, start).Replica.ID]++
 	}
 	assert.Less(t, got["i-2"], routers*3/4, "the idle one does not get all")
--- a/pkg/balance/spread_test.go
+++ b/pkg/balance/spread_test.go
@@ -49,23 +49,23 @@
 	b, _ := full(t)
 	pick(t, b, prompt(5), start)
 	pick(t, b, prompt(5), start)
-	told := b.Tell(start)
+	told := b.TakePeerUpdate(start)
 	require.Equal(t, []HotPart{{Part: 1005, Homes: 7, At: start}}, told.Hot)
-	assert.Empty(t, b.Tell(start).Hot, "once")
+	assert.Empty(t, b.TakePeerUpdate(start).Hot, "once")
 
 	other := newBalancer(engines(12))
 	other.SetLarge(true)
-	other.Merge("b", Told{Rumors: told.Rumors}, start.Add(time.Second))
-	assert.Equal(t, told.Hot, other.Tell(start).Hot, "and passed on")
-	other.Merge("c", Told{Rumors: told.Rumors}, start.Add(time.Second))
-	assert.Empty(t, other.Tell(start).Hot, "once")
+	other.MergePeer("b", PeerUpdate{Rumors: told.Rumors}, start.Add(time.Second))
+	assert.Equal(t, told.Hot, other.TakePeerUpdate(start).Hot, "and passed on")
+	other.MergePeer("c", PeerUpdate{Rumors: told.Rumors}, start.Add(time.Second))
+	assert.Empty(t, other.TakePeerUpdate(start).Hot, "once")
 	assert.Equal(t, 7, chosen(t, other, start.Add(time.Second)))
 	assert.Equal(t, 1, chosen(t, other, start.Add(spreadLife)), "from when it was seen")
-	other.Merge("c", Told{Rumors: told.Rumors}, start.Add(spreadLife))
-	assert.Empty(t, other.Tell(start).Hot, "what is over is not passed on")
+	other.MergePeer("c", PeerUpdate{Rumors: told.Rumors}, start.Add(spreadLife))
+	assert.Empty(t, other.TakePeerUpdate(start).Hot, "what is over is not passed on")
 
 	many := HotPart{Part: 1005, Homes: 1 << 30, At: start}
-	other.Merge("c", Told{Rumors: Rumors{Hot: []HotPart{many}}}, start)
+	other.MergePeer("c", PeerUpdate{Rumors: Rumors{Hot: []HotPart{many}}}, start)
 	assert.Equal(t, spreadMost, chosen(t, other, start), "as many as a part may have")
 }
 
@@ -74,7 +74,7 @@
 		b, _ := full(t)
 		b.SetLarge(false)
 		assert.Equal(t, 1, chosen(t, b, start))
-		assert.Empty(t, b.Tell(start).Hot)
+		assert.Empty(t, b.TakePeerUpdate(start).Hot)
 	})
 	t.Run("without it", func(t *testing.T) {
 		b, _ := full(t)
@@ -87,7 +87,7 @@
 func TestWhatIsSpreadIsToldWithinBounds(t *testing.T) {
 	b, _ := full(t)
 	for part := range uint64(5 * maxToldLarge) {
-		b.Merge("a", Told{Rumors: Rumors{Hot: []HotPart{{Part: part, Homes: 2, At: start}}}}, start)
+		b.MergePeer("a", PeerUpdate{Rumors: Rumors{Hot: []HotPart{{Part: part, Homes: 2, At: start}}}}, start)
 	}
-	assert.Len(t, b.Tell(start).Hot, maxToldLarge)
+	assert.Len(t, b.TakePeerUpdate(start).Hot, maxToldLarge)
 }
--- a/pkg/balance/tellingfleet_test.go
+++ b/pkg/balance/tellingfleet_test.go
@@ -91,7 +91,7 @@
 
 func (f *tellingFleet) tell(router int) {
 	counts := make(map[uint32]int)
-	for _, c := range f.routers[router].Tell(f.now).Running {
+	for _, c := range f.routers[router].TakePeerUpdate(f.now).Running {
 		counts[c.Replica] = c.Running
 	}
 	f.told[router] = counts
