--- a/internal/gossip/rumors.go
+++ b/internal/gossip/rumors.go
@@ -18,7 +18,7 @@
 // tellRumors tells some partners in a large fleet what this router saw or was told
 // since the last round of a small one.
 func (g *Gossip) tellRumors(partners membership.Partners, now time.Time) {
-	rumors := g.balancer.TellRumors()
+	rumors := g.balancer.TakeRumors()
 	if rumors.Empty() {
 		return
 	}
--- a/pkg/balance/evidence_test.go
+++ b/pkg/balance/evidence_test.go
@@ -113,18 +113,18 @@
 	b.SetLarge(true)
 	b.Replace([]directory.Replica{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, start)
 	b.Failed("a", Hung, "", start)
-	told := b.TellRumors().Failures
+	told := b.TakeRumors().Failures
 	require.Len(t, told, 1)
 	assert.Equal(t, Broke, told[0].Failure)
 	for range 2 {
 		b.Failed("b", Hung, "", start.Add(time.Second))
 	}
-	told = b.TellRumors().Failures
+	told = b.TakeRumors().Failures
 	require.NotEmpty(t, told)
 	assert.Equal(t, Hung, told[len(told)-1].Failure)
 	b.SetLarge(false)
 	b.Failed("a", Hung, "", start.Add(time.Minute))
-	told = b.TellRumors().Failures
+	told = b.TakeRumors().Failures
 	require.NotEmpty(t, told)
 	assert.Equal(t, Hung, told[len(told)-1].Failure)
 }
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -35,18 +35,18 @@
 	load := b.load(b.replicas["a"], now)
 	b.mu.Unlock()
 	assert.Zero(t, load)
-	assert.Len(t, b.TellRumors().Failures, 1, "what the list tells is no rumor")
+	assert.Len(t, b.TakeRumors().Failures, 1, "what the list tells is no rumor")
 }
 
 func TestARestartReachesRoutersThatTheListDoesNotTell(t *testing.T) {
 	now := time.Now()
 	reader, other := twoEngines(now), twoEngines(now)
 	other.Answered("a", sharedPrompt(), now)
-	other.TellRumors()
+	other.TakeRumors()
 	var told []string
 	other.SetEnds(Ends{Restarted: func(id, _ string) { told = append(told, id) }})
 	reader.Restarted("a", true, now)
-	rumors := reader.TellRumors()
+	rumors := reader.TakeRumors()
 	other.MergeRumors(rumors, now)
 	assert.Empty(t, other.Holders(now))
 	other.MergeRumors(rumors, now)
--- a/pkg/balance/rumors.go
+++ b/pkg/balance/rumors.go
@@ -30,8 +30,8 @@
 // Empty tells whether there is nothing to tell.
 func (r Rumors) Empty() bool { return len(r.Failures)+len(r.Holders)+len(r.Hot) == 0 }
 
-// TellRumors returns what the others are to know, each failure, holder and part once.
-func (b *Balancer) TellRumors() Rumors {
+// TakeRumors returns what the others are to know, each failure, holder and part once.
+func (b *Balancer) TakeRumors() Rumors {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rumors := b.untold
--- a/pkg/balance/tellingfleet_test.go
+++ b/pkg/balance/tellingfleet_test.go
@@ -100,7 +100,7 @@
 // pass has some of a router's partners take its rumors: of those of its line, and of
 // one in each other line.
 func (f *tellingFleet) pass(router int) {
-	rumors := f.routers[router].TellRumors()
+	rumors := f.routers[router].TakeRumors()
 	if rumors.Empty() {
 		return
 	}
