--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -99,8 +99,8 @@
 func (g *Gossip) merge(d *gossippb.Digest, now time.Time) {
 	told := decode(d, now)
 	if d.Lines > 0 {
-		line := balance.LineTold{Named: told.Running, Singles: decodeSingles(d.Singles)}
-		g.balancer.MergeLine(balance.Line{Number: int(d.Line), Of: int(d.Lines)}, line, told.Rumors, now)
+		line := balance.LineCounts{Counts: told.Running, Singles: decodeSingles(d.Singles)}
+		g.balancer.MergeLine(balance.Line{Number: int(d.Line), Total: int(d.Lines)}, line, told.Rumors, now)
 		return
 	}
 	g.balancer.MergePeer(d.Sender, told, now)
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -43,8 +43,8 @@
 		d.line = rumors
 		line, lines := g.members.Line()
 		d.line.Line, d.line.Lines = uint32(line), uint32(lines)
-		told := g.balancer.TellLine(now)
-		encodeCounts(d.line, told.Named)
+		told := g.balancer.SumLine(now)
+		encodeCounts(d.line, told.Counts)
 		for _, single := range told.Singles {
 			d.line.Singles = binary.LittleEndian.AppendUint16(d.line.Singles, single)
 		}
--- a/pkg/balance/bench_test.go
+++ b/pkg/balance/bench_test.go
@@ -32,12 +32,12 @@
 			balancer.SetLarge(true)
 			now := time.Now()
 			for line := range 16 {
-				var told LineTold
+				var told LineCounts
 				for i := range n / 2 {
 					told.Singles = append(told.Singles, uint16(Hash(fmt.Sprintf("i-%d", (line+i)%n))))
 				}
 				for i := n / 2; i < n*3/4; i++ {
-					told.Named = append(told.Named, Count{Replica: Hash(fmt.Sprintf("i-%d", (line+i)%n)), Running: 2})
+					told.Counts = append(told.Counts, Count{Replica: Hash(fmt.Sprintf("i-%d", (line+i)%n)), Running: 2})
 				}
 				balancer.MergeLine(Line{line, 16}, told, Rumors{}, now)
 			}
--- a/pkg/balance/lines.go
+++ b/pkg/balance/lines.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// LineTold is what the routers of one line run. Most replicas run one request of
+// LineCounts is what the routers of one line run. Most replicas run one request of
 // a line or none, so those with one take two bytes each.
-type LineTold struct {
-	// Named are the replicas that run more than one request of the line.
-	Named []Count
+type LineCounts struct {
+	// Counts are the replicas that run more than one request of the line.
+	Counts []Count
 	// Singles are the short hashes of those that run one. Two replicas may share a
 	// short hash; one request more or less does no harm.
 	Singles []uint16
 }
 
-// TellLine returns what all routers of this one's line run, as they told it
+// SumLine returns what all routers of this one's line run, as they told it
 // lately, this one included.
-func (b *Balancer) TellLine(now time.Time) LineTold {
+func (b *Balancer) SumLine(now time.Time) LineCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sums := make(map[uint32]Count)
@@ -28,24 +28,24 @@
 			sums[r.short] = own
 		}
 	}
-	var told LineTold
+	var told LineCounts
 	for short, sum := range sums {
 		if sum.Running == 1 {
 			told.Singles = append(told.Singles, uint16(short))
 			continue
 		}
-		told.Named = append(told.Named, Count{Replica: short, Running: sum.Running})
+		told.Counts = append(told.Counts, Count{Replica: short, Running: sum.Running})
 	}
 	return told
 }
 
 // Line names a line of a fleet that is divided into a number of them.
-type Line struct{ Number, Of int }
+type Line struct{ Number, Total int }
 
 // MergeLine takes what a router told of its line, with its rumors.
-func (b *Balancer) MergeLine(line Line, told LineTold, rumors Rumors, now time.Time) {
+func (b *Balancer) MergeLine(line Line, told LineCounts, rumors Rumors, now time.Time) {
 	b.mu.Lock()
-	counts := newPeerCounts(told.Named, now)
+	counts := newPeerCounts(told.Counts, now)
 	for _, single := range told.Singles {
 		for _, r := range b.bySingle[single] {
 			counts.running[r.short] = Count{Replica: r.short, Running: 1}
--- a/pkg/balance/load_test.go
+++ b/pkg/balance/load_test.go
@@ -46,14 +46,14 @@
 	for i, b := range list[:2] {
 		list[2].MergePeer(fmt.Sprint(i), b.TakePeerUpdate(start), start)
 	}
-	sums := list[2].TellLine(start)
-	assert.Equal(t, []Count{{Replica: Hash(home), Running: 2 + 3 + 4}}, sums.Named)
+	sums := list[2].SumLine(start)
+	assert.Equal(t, []Count{{Replica: Hash(home), Running: 2 + 3 + 4}}, sums.Counts)
 	assert.Empty(t, sums.Singles)
 	last := list[3]
 	last.MergeLine(Line{1, 8}, sums, Rumors{}, start)
 	assert.NotEqual(t, home, pick(t, last, prompt(5), start).Replica.ID)
-	assert.Empty(t, last.TellLine(start).Named, "what other lines run is not told on")
-	last.MergeLine(Line{1, 8}, LineTold{}, Rumors{}, start)
+	assert.Empty(t, last.SumLine(start).Counts, "what other lines run is not told on")
+	last.MergeLine(Line{1, 8}, LineCounts{}, Rumors{}, start)
 	newer := pick(t, last, others[0], start)
 	assert.Equal(t, home, newer.Replica.ID, "a newer sum takes the place of the older")
 	assert.Zero(t, newer.Load)
@@ -84,8 +84,8 @@
 	for range 4 {
 		list[0].Started("i-3")
 	}
-	told := list[0].TellLine(start)
-	assert.Equal(t, []Count{{Replica: Hash("i-3"), Running: 5}}, told.Named)
+	told := list[0].SumLine(start)
+	assert.Equal(t, []Count{{Replica: Hash("i-3"), Running: 5}}, told.Counts)
 	assert.Len(t, told.Singles, 9)
 
 	// Lists differ while replicas come and go.
--- a/pkg/balance/tellingfleet_test.go
+++ b/pkg/balance/tellingfleet_test.go
@@ -136,10 +136,10 @@
 			}
 		}
 	}
-	var told LineTold
+	var told LineCounts
 	for replica, n := range sums {
-		told.Named = append(told.Named, Count{replica, n})
+		told.Counts = append(told.Counts, Count{replica, n})
 	}
-	slices.SortFunc(told.Named, func(a, b Count) int { return cmp.Compare(a.Replica, b.Replica) })
+	slices.SortFunc(told.Counts, func(a, b Count) int { return cmp.Compare(a.Replica, b.Replica) })
 	f.routers[router].MergeLine(Line{line, f.lines}, told, Rumors{}, f.now)
 }
