--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -143,12 +143,12 @@
 		Mine:       e.gossip.OwnsTask,
 		Without:    e.settings.Without,
 	}, e.watcher, e.holder, e.balancer, e.pool, e.metrics, e.log)
-	e.balancer.SetEnds(balance.Ends{
+	e.balancer.SetReplicaHooks(balance.ReplicaHooks{
 		Restarted: func(id, address string) {
 			e.pool.Drop(address)
 			e.front.Restarted(id, steady.Now())
 		},
-		Gone: func(id string) { e.front.Gone(id, steady.Now()) },
+		Removed: func(id string) { e.front.Gone(id, steady.Now()) },
 	})
 	limits := front.NewConnLimits(e.holder, e.log)
 	e.conns = conns.NewSet()
--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -56,7 +56,7 @@
 			// Routers that receive the list see it by the start in the replica's entry.
 			w.balancer.Restarted(c.Replica.ID, c.Replica.Born == 0, steady.Now())
 		case directory.Left:
-			w.balancer.Gone(c.Replica.ID)
+			w.balancer.Removed(c.Replica.ID)
 		}
 		if c.Centre != "" {
 			w.log.Write(centreEvent(c.What), event.F("data_centre", c.Centre))
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -143,7 +143,7 @@
 	// evacuated are the replicas of services that are left out with their data centre.
 	evacuated map[string][]*replica
 	cold      coldShares
-	ends      atomic.Pointer[Ends]
+	ends      atomic.Pointer[ReplicaHooks]
 	// restartsToTell are those that a rumor told of, for ends.
 	restartsToTell []directory.Replica
 }
--- a/pkg/balance/restart.go
+++ b/pkg/balance/restart.go
@@ -13,16 +13,16 @@
 // holds what it held before: rumors take two rounds of a large fleet.
 const lateHolders = 1500 * time.Millisecond
 
-// Ends are told what became of replicas, without a lock. Both may be nil.
-type Ends struct {
+// ReplicaHooks are told what became of replicas, without a lock. Both may be nil.
+type ReplicaHooks struct {
 	// Restarted: the replica started again under its id, at an address.
 	Restarted func(id, address string)
-	// Gone: it is listed no more.
-	Gone func(id string)
+	// Removed: it is listed no more.
+	Removed func(id string)
 }
 
-// SetEnds sets who is told.
-func (b *Balancer) SetEnds(e Ends) { b.ends.Store(&e) }
+// SetReplicaHooks sets who is told.
+func (b *Balancer) SetReplicaHooks(e ReplicaHooks) { b.ends.Store(&e) }
 
 // Restarted notes that a replica started again under its id. Where the list does not
 // say so to all routers, they are told as a rumor.
@@ -48,10 +48,10 @@
 	}
 }
 
-// Gone notes that a replica is listed no more.
-func (b *Balancer) Gone(id string) {
-	if e := b.ends.Load(); e != nil && e.Gone != nil {
-		e.Gone(id)
+// Removed notes that a replica is listed no more.
+func (b *Balancer) Removed(id string) {
+	if e := b.ends.Load(); e != nil && e.Removed != nil {
+		e.Removed(id)
 	}
 }
 
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -26,7 +26,7 @@
 	b.Reported("a", 50, now)
 	assert.True(t, b.Suspected("a", now))
 	var told []string
-	b.SetEnds(Ends{Restarted: func(id, address string) { told = append(told, id+" "+address) }})
+	b.SetReplicaHooks(ReplicaHooks{Restarted: func(id, address string) { told = append(told, id+" "+address) }})
 	b.Restarted("a", false, now)
 	assert.Equal(t, []string{"a a:1"}, told)
 	assert.False(t, b.Suspected("a", now))
@@ -44,7 +44,7 @@
 	other.Answered("a", sharedPrompt(), now)
 	other.TakeRumors()
 	var told []string
-	other.SetEnds(Ends{Restarted: func(id, _ string) { told = append(told, id) }})
+	other.SetReplicaHooks(ReplicaHooks{Restarted: func(id, _ string) { told = append(told, id) }})
 	reader.Restarted("a", true, now)
 	rumors := reader.TakeRumors()
 	other.MergeRumors(rumors, now)
