--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -157,7 +157,7 @@
 		event.F("request", c.id), event.F("replica", id), event.F("why", string(choice.Reason)),
 		event.F("part", fmt.Sprintf("%x", choice.Part)), event.F("holders", choice.Holders),
 		event.F("load", choice.Load), event.F("bound", choice.Bound), event.F("copy_from", choice.Source), event.F("sent", c.sent.Load()),
-		event.F("passed", choice.Passed), event.F("passed_load", choice.PassedLoad), event.F("passed_bad", choice.PassedBad),
+		event.F("passed", choice.PassedOver), event.F("passed_load", choice.PassedOverLoad), event.F("passed_bad", choice.PassedOverBadness),
 		event.F("proof_ms", c.front.watcher.Staleness(now).Milliseconds()),
 	}
 	if age, doubted := c.front.watcher.Unconfirmed(id, now); doubted {
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -79,11 +79,11 @@
 	Holders int
 	// Load is the replica's load as estimated, Bound what it was held against.
 	Load, Bound float64
-	// Passed is the engine that would have been first, if it was passed over,
+	// PassedOver is the engine that would have been first, if it was passed over,
 	// PassedLoad its load and PassedBad how far it is suspected.
-	Passed     string
-	PassedLoad float64
-	PassedBad  int
+	PassedOver        string
+	PassedOverLoad    float64
+	PassedOverBadness int
 	// Hopeless: all that is left could not be reached a moment ago, and another
 	// request has just tried again.
 	Hopeless bool
@@ -254,7 +254,7 @@
 	choice := Choice{Replica: chosen.Replica, Reason: reason, Load: b.load(chosen, now), Bound: bound, Part: homeKey(q.Parts), Hopeless: b.hopeless(chosen, now)}
 	choice.Holders = len(b.holders.list(choice.Part, now))
 	if home != chosen {
-		choice.Passed, choice.PassedLoad, choice.PassedBad = home.ID, b.load(home, now), b.badness(home, now)
+		choice.PassedOver, choice.PassedOverLoad, choice.PassedOverBadness = home.ID, b.load(home, now), b.badness(home, now)
 	}
 	if len(q.Parts) > 1 && !b.without.Has(mechanism.Copies) {
 		choice.Source = b.source(chosen, q.Parts, now)
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -169,7 +169,7 @@
 	b.Failed(home, Refused, "dc0", start)
 	c := pick(t, b, prompt(5), start)
 	assert.NotEqual(t, home, c.Replica.ID)
-	assert.Equal(t, home, c.Passed)
+	assert.Equal(t, home, c.PassedOver)
 	other.MergePeer("b", b.TakePeerUpdate(start), start)
 	assert.True(t, other.Suspected(home, start))
 	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(time.Minute)).Replica.ID)
--- a/pkg/balance/enginefleet_test.go
+++ b/pkg/balance/enginefleet_test.go
@@ -272,7 +272,7 @@
 	}
 	f.stats.arrivals = append(f.stats.arrivals, f.now)
 	f.look(e)
-	if choice.Passed != "" {
+	if choice.PassedOver != "" {
 		f.stats.diverted++
 	}
 	b.Started(e.id)
--- a/pkg/balance/load_test.go
+++ b/pkg/balance/load_test.go
@@ -58,7 +58,7 @@
 	assert.Equal(t, home, newer.Replica.ID, "a newer sum takes the place of the older")
 	assert.Zero(t, newer.Load)
 	last.MergeLine(Line{1, 8}, sums, Rumors{}, start)
-	assert.InDelta(t, 2+3+4, pick(t, last, prompt(5), start).PassedLoad, 0)
+	assert.InDelta(t, 2+3+4, pick(t, last, prompt(5), start).PassedOverLoad, 0)
 	late := pick(t, last, others[1], start.Add(peerLife))
 	assert.Equal(t, home, late.Replica.ID, "an old sum says nothing")
 	assert.Zero(t, late.Load)
