--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -52,7 +52,7 @@
 			c.giveUp(refuseStale("list of replicas too old"))
 			return
 		}
-		if !found || choice.Hopeless {
+		if !found || choice.Unreachable {
 			if c.waitForReplica(ctx) {
 				continue
 			}
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -84,9 +84,9 @@
 	PassedOver        string
 	PassedOverLoad    float64
 	PassedOverBadness int
-	// Hopeless: all that is left could not be reached a moment ago, and another
+	// Unreachable: all that is left could not be reached a moment ago, and another
 	// request has just tried again.
-	Hopeless bool
+	Unreachable bool
 }
 
 // The bound on a replica's requests: a multiple of the mean and some more, below
@@ -247,11 +247,11 @@
 	if len(q.Parts) == 0 {
 		chosen, reason := b.pickPlain(q, left, now)
 		reason = b.spend(chosen, q, reason, now)
-		return Choice{Replica: chosen.Replica, Reason: reason, Load: b.load(chosen, now), Bound: bound, Hopeless: b.hopeless(chosen, now)}, true
+		return Choice{Replica: chosen.Replica, Reason: reason, Load: b.load(chosen, now), Bound: bound, Unreachable: b.hopeless(chosen, now)}, true
 	}
 	chosen, home, reason := b.pickEngine(q, left, bound, now)
 	reason = b.spend(chosen, q, reason, now)
-	choice := Choice{Replica: chosen.Replica, Reason: reason, Load: b.load(chosen, now), Bound: bound, Part: homeKey(q.Parts), Hopeless: b.hopeless(chosen, now)}
+	choice := Choice{Replica: chosen.Replica, Reason: reason, Load: b.load(chosen, now), Bound: bound, Part: homeKey(q.Parts), Unreachable: b.hopeless(chosen, now)}
 	choice.Holders = len(b.holders.list(choice.Part, now))
 	if home != chosen {
 		choice.PassedOver, choice.PassedOverLoad, choice.PassedOverBadness = home.ID, b.load(home, now), b.badness(home, now)
--- a/pkg/balance/reach_test.go
+++ b/pkg/balance/reach_test.go
@@ -49,7 +49,7 @@
 				b := newBalancer(engines(3))
 				c.prepare(b)
 				for _, s := range c.steps {
-					assert.Equal(t, s.hopeless, pick(t, b, parts, start.Add(s.at)).Hopeless, s.at)
+					assert.Equal(t, s.hopeless, pick(t, b, parts, start.Add(s.at)).Unreachable, s.at)
 				}
 			})
 		}
@@ -64,6 +64,6 @@
 	b := newBalancer(list)
 	b.Failed("i-0", Unreachable, "dc0", start)
 	b.Failed("i-1", Unreachable, "dc0", start)
-	assert.False(t, pick(t, b, nil, start).Hopeless, "tried")
-	assert.True(t, pick(t, b, nil, start, "i-0", "i-1").Hopeless, "the others were not")
+	assert.False(t, pick(t, b, nil, start).Unreachable, "tried")
+	assert.True(t, pick(t, b, nil, start, "i-0", "i-1").Unreachable, "the others were not")
 }
