--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -156,7 +156,7 @@
 	fields := []event.Field{
 		event.F("request", c.id), event.F("replica", id), event.F("why", string(choice.Reason)),
 		event.F("part", fmt.Sprintf("%x", choice.Part)), event.F("holders", choice.Holders),
-		event.F("load", choice.Load), event.F("bound", choice.Bound), event.F("copy_from", choice.Source), event.F("sent", c.sent.Load()),
+		event.F("load", choice.Load), event.F("bound", choice.Bound), event.F("copy_from", choice.CopySource), event.F("sent", c.sent.Load()),
 		event.F("passed", choice.PassedOver), event.F("passed_load", choice.PassedOverLoad), event.F("passed_bad", choice.PassedOverBadness),
 		event.F("proof_ms", c.front.watcher.Staleness(now).Milliseconds()),
 	}
--- a/internal/front/outgoing.go
+++ b/internal/front/outgoing.go
@@ -28,8 +28,8 @@
 		if !c.front.options.Without.Has(mechanism.Priority) {
 			header.Set(d.Priority, strconv.Itoa(c.priority()))
 		}
-		if choice.Source != "" {
-			header.Set(d.CopyFrom, choice.Source)
+		if choice.CopySource != "" {
+			header.Set(d.CopyFrom, choice.CopySource)
 		}
 	}
 	if c.lastEvent != "" {
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -69,10 +69,10 @@
 // Choice is the answer to a question.
 type Choice struct {
 	Replica directory.Replica
-	// Source is the address of an engine that may hold what the chosen one
+	// CopySource is the address of an engine that may hold what the chosen one
 	// lacks; empty if none is needed.
-	Source string
-	Reason Reason
+	CopySource string
+	Reason     Reason
 	// Part is the prompt's last shared part and Holders the number of engines
 	// known to hold it; zero for plain services.
 	Part    uint64
@@ -257,7 +257,7 @@
 		choice.PassedOver, choice.PassedOverLoad, choice.PassedOverBadness = home.ID, b.load(home, now), b.badness(home, now)
 	}
 	if len(q.Parts) > 1 && !b.without.Has(mechanism.Copies) {
-		choice.Source = b.source(chosen, q.Parts, now)
+		choice.CopySource = b.source(chosen, q.Parts, now)
 	}
 	return choice, true
 }
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -97,7 +97,7 @@
 	for part, id := range held {
 		c := pick(t, b, prompt(part), start)
 		assert.Equal(t, id, c.Replica.ID)
-		assert.Empty(t, c.Source, "nothing needs to be copied")
+		assert.Empty(t, c.CopySource, "nothing needs to be copied")
 	}
 }
 
@@ -110,9 +110,9 @@
 	assert.Empty(t, one.TakePeerUpdate(start).Holders, "once")
 	two.MergePeer("one", told, start)
 	c := pick(t, two, prompt(5), start, home.Replica.ID)
-	assert.Equal(t, home.Replica.Address, c.Source, "from the holder")
+	assert.Equal(t, home.Replica.Address, c.CopySource, "from the holder")
 	c = pick(t, two, prompt(6), start, home.Replica.ID)
-	assert.Equal(t, home.Replica.Address, c.Source, "the opening is shared")
+	assert.Equal(t, home.Replica.Address, c.CopySource, "the opening is shared")
 }
 
 func TestADrainingEngineGetsNothingButIsCopiedFrom(t *testing.T) {
@@ -128,7 +128,7 @@
 	b.Replace(list, start)
 	c := pick(t, b, prompt(5), start)
 	assert.NotEqual(t, home.Replica.ID, c.Replica.ID)
-	assert.Equal(t, home.Replica.Address, c.Source)
+	assert.Equal(t, home.Replica.Address, c.CopySource)
 }
 
 // Where a second home was weighed, each part that came twice in a moment was read
@@ -229,10 +229,10 @@
 	second := pick(t, b, prompt(5), start, home.ID).Replica
 	opening := prompt(5)[:1]
 	b.Held(second.ID, opening, start)
-	assert.Empty(t, pick(t, b, prompt(5), start, home.ID).Source, "all would have heard of a holder")
+	assert.Empty(t, pick(t, b, prompt(5), start, home.ID).CopySource, "all would have heard of a holder")
 	b.SetLarge(true)
-	assert.Equal(t, home.Address, pick(t, b, prompt(5), start, home.ID).Source, "diverted: the home is likely to hold it")
-	assert.Equal(t, second.Address, pick(t, b, prompt(5), start).Source, "at the home: the opening from whoever holds it")
+	assert.Equal(t, home.Address, pick(t, b, prompt(5), start, home.ID).CopySource, "diverted: the home is likely to hold it")
+	assert.Equal(t, second.Address, pick(t, b, prompt(5), start).CopySource, "at the home: the opening from whoever holds it")
 }
 
 func TestTheNextHomeCopiesFromOneThatDrains(t *testing.T) {
@@ -248,7 +248,7 @@
 	b.Replace(list, start)
 	c := pick(t, b, prompt(5), start)
 	assert.NotEqual(t, home.ID, c.Replica.ID)
-	assert.Equal(t, home.Address, c.Source, "although no holder is known")
+	assert.Equal(t, home.Address, c.CopySource, "although no holder is known")
 }
 
 func TestAnEngineThatJoinedCopiesFromTheHomeBefore(t *testing.T) {
@@ -265,7 +265,7 @@
 			continue
 		}
 		assert.Equal(t, "i-12", c.Replica.ID)
-		assert.Equal(t, before.Address, c.Source)
+		assert.Equal(t, before.Address, c.CopySource)
 		return
 	}
 	t.Fatal("the new engine became no part's home")
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -209,7 +209,7 @@
 	for part := range uint64(100) {
 		assert.NotEqual(t, first.Replica.DataCentre, pick(t, b, prompt(part), start).Replica.DataCentre)
 	}
-	assert.Equal(t, first.Replica.Address, pick(t, b, prompt(1), start).Source)
+	assert.Equal(t, first.Replica.Address, pick(t, b, prompt(1), start).CopySource)
 	assert.False(t, b.Evacuated("llm"))
 	for i := range list {
 		list[i].Evacuated = true
--- a/pkg/balance/enginefleet_test.go
+++ b/pkg/balance/enginefleet_test.go
@@ -277,7 +277,7 @@
 	}
 	b.Started(e.id)
 	e.running++
-	first := f.read(e, f.engines[choice.Source], parts)
+	first := f.read(e, f.engines[choice.CopySource], parts)
 	f.after(first, func() {
 		if f.now.Sub(arrived) <= k.aim {
 			f.stats.inAim++
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -79,6 +79,6 @@
 		choice, found := b.Pick(Request{Service: "s", Parts: sharedPrompt()}, now)
 		assert.True(t, found)
 		assert.Equal(t, "b", choice.Replica.ID)
-		assert.Empty(t, choice.Source)
+		assert.Empty(t, choice.CopySource)
 	}
 }
--- a/pkg/balance/without_test.go
+++ b/pkg/balance/without_test.go
@@ -32,7 +32,7 @@
 		},
 		"copies": func(b *Balancer) any {
 			b.Answered(home.ID, prompt(5), start)
-			return pick(t, b, prompt(5), start, home.ID).Source
+			return pick(t, b, prompt(5), start, home.ID).CopySource
 		},
 		"near": func(b *Balancer) any {
 			var ids []string
@@ -44,7 +44,7 @@
 		"leavers": func(b *Balancer) any {
 			b.Answered(home.ID, prompt(5), start)
 			replace(b)
-			return pickFrom(b, "dc0", prompt(5)).Source
+			return pickFrom(b, "dc0", prompt(5)).CopySource
 		},
 		"bound": func(b *Balancer) any {
 			for range 20 {
