--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func encodeHolders(list []balance.Holding) (parts []uint64, replicas []uint32) {
+func encodeHolders(list []balance.PartHolder) (parts []uint64, replicas []uint32) {
 	for _, h := range list {
 		parts = append(parts, h.Part)
 		replicas = append(replicas, h.Replica)
@@ -137,7 +137,7 @@
 		t.Running = append(t.Running, balance.Count{Replica: d.Replica[i], Running: int(d.Running[i])})
 	}
 	for i := range min(len(d.Failed), len(d.Failure), len(d.FailedAgeMs)) {
-		t.Failures = append(t.Failures, balance.SeenFailure{Replica: d.Failed[i], Failure: balance.Failure(d.Failure[i]), At: now.Add(-milliseconds(d.FailedAgeMs[i]))})
+		t.Failures = append(t.Failures, balance.ObservedFailure{Replica: d.Failed[i], Failure: balance.Failure(d.Failure[i]), At: now.Add(-milliseconds(d.FailedAgeMs[i]))})
 	}
 	t.Holders = decodeHolders(d.Part, d.Holder)
 	for i := range min(len(d.Hot), len(d.HotHomes), len(d.HotAgeMs)) {
@@ -155,10 +155,10 @@
 	return singles
 }
 
-func decodeHolders(parts []uint64, replicas []uint32) []balance.Holding {
-	var list []balance.Holding
+func decodeHolders(parts []uint64, replicas []uint32) []balance.PartHolder {
+	var list []balance.PartHolder
 	for i := range min(len(parts), len(replicas)) {
-		list = append(list, balance.Holding{Part: parts[i], Replica: replicas[i]})
+		list = append(list, balance.PartHolder{Part: parts[i], Replica: replicas[i]})
 	}
 	return list
 }
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -273,7 +273,7 @@
 
 func TestAFailureThatIsToldLateCountsFromWhenItWasSeen(t *testing.T) {
 	b := newBalancer(engines(3))
-	late := PeerUpdate{Rumors: Rumors{Failures: []SeenFailure{{Hash("i-0"), Shed, start.Add(-time.Second)}, {Hash("i-1"), Refused, start.Add(-500 * time.Millisecond)}}}}
+	late := PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{Hash("i-0"), Shed, start.Add(-time.Second)}, {Hash("i-1"), Refused, start.Add(-500 * time.Millisecond)}}}}
 	b.MergePeer("other", late, start)
 	assert.False(t, b.Suspected("i-0", start), "its time is over")
 	assert.True(t, b.Suspected("i-1", start))
--- a/pkg/balance/load_test.go
+++ b/pkg/balance/load_test.go
@@ -120,8 +120,8 @@
 	for _, late := range []time.Duration{0, 3 * time.Millisecond, 300 * time.Millisecond} {
 		seen := start.Add(late)
 		b.MergePeer("other", PeerUpdate{Rumors: Rumors{
-			Failures: []SeenFailure{{Hash("i-2"), Refused, seen}},
-			Holders:  []Holding{{Part: 77, Replica: Hash("i-3")}},
+			Failures: []ObservedFailure{{Hash("i-2"), Refused, seen}},
+			Holders:  []PartHolder{{Part: 77, Replica: Hash("i-3")}},
 		}}, seen.Add(10*time.Millisecond))
 		told := b.TakePeerUpdate(seen.Add(20 * time.Millisecond))
 		first := late == 0
@@ -138,12 +138,12 @@
 	assert.Empty(t, b.TakePeerUpdate(start).Holders, "the first home")
 	second := pick(t, b, prompt(5), start, home).Replica.ID
 	b.Answered(second, prompt(5), start)
-	assert.Equal(t, []Holding{{prompt(5)[1].ID, Hash(second)}}, b.TakePeerUpdate(start).Holders)
+	assert.Equal(t, []PartHolder{{prompt(5)[1].ID, Hash(second)}}, b.TakePeerUpdate(start).Holders)
 }
 
 func TestOldFailuresAreNotPassedOn(t *testing.T) {
 	b := largeFleet(1)[0]
-	b.MergePeer("other", PeerUpdate{Rumors: Rumors{Failures: []SeenFailure{{Hash("i-2"), Refused, start.Add(-rumorLife - 1)}}}}, start)
+	b.MergePeer("other", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{Hash("i-2"), Refused, start.Add(-rumorLife - 1)}}}}, start)
 	assert.Empty(t, b.TakePeerUpdate(start).Failures)
 }
 
--- a/pkg/balance/rumors.go
+++ b/pkg/balance/rumors.go
@@ -8,21 +8,21 @@
 
 // Rumors are what a router saw or was told since it last told, to be passed on.
 type Rumors struct {
-	Failures []SeenFailure
-	Holders  []Holding
+	Failures []ObservedFailure
+	Holders  []PartHolder
 	Hot      []HotPart
 }
 
-// SeenFailure is a failure that a router saw, with the steady time of the one
+// ObservedFailure is a failure that a router saw, with the steady time of the one
 // who holds it.
-type SeenFailure struct {
+type ObservedFailure struct {
 	Replica uint32
 	Failure Failure
 	At      time.Time
 }
 
-// Holding says that a replica was sent a part of a prompt.
-type Holding struct {
+// PartHolder says that a replica was sent a part of a prompt.
+type PartHolder struct {
 	Part    uint64
 	Replica uint32
 }
@@ -73,13 +73,13 @@
 		return
 	}
 	if len(b.untold.Failures) < b.maxTold(maxToldFailures) {
-		b.untold.Failures = append(b.untold.Failures, SeenFailure{Hash(r.ID), kind, now})
+		b.untold.Failures = append(b.untold.Failures, ObservedFailure{Hash(r.ID), kind, now})
 	}
 }
 
 func (b *Balancer) tellHolder(part uint64, r *replica) {
 	if len(b.untold.Holders) < b.maxTold(maxToldHolders) {
-		b.untold.Holders = append(b.untold.Holders, Holding{part, Hash(r.ID)})
+		b.untold.Holders = append(b.untold.Holders, PartHolder{part, Hash(r.ID)})
 	}
 }
 
@@ -98,7 +98,7 @@
 }
 
 // mergeFailure takes a failure that another router saw. b.mu is held.
-func (b *Balancer) mergeFailure(f SeenFailure, now time.Time) {
+func (b *Balancer) mergeFailure(f ObservedFailure, now time.Time) {
 	r := b.byHash[f.Replica]
 	if r == nil || f.Failure > Restart || b.without.Has(mechanism.Rumors) {
 		return
@@ -129,7 +129,7 @@
 }
 
 // mergeHolder takes a holder that another router saw. b.mu is held.
-func (b *Balancer) mergeHolder(h Holding, now time.Time) {
+func (b *Balancer) mergeHolder(h PartHolder, now time.Time) {
 	r := b.byHash[h.Replica]
 	if r == nil || now.Sub(r.restarted) < lateHolders {
 		return
@@ -141,20 +141,20 @@
 }
 
 // Holders returns who is known to hold which parts, for a router that starts.
-func (b *Balancer) Holders(now time.Time) []Holding {
+func (b *Balancer) Holders(now time.Time) []PartHolder {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var list []Holding
+	var list []PartHolder
 	for _, part := range b.holders.parts.Keys() {
 		for _, id := range b.holders.list(part, now) {
-			list = append(list, Holding{part, Hash(id)})
+			list = append(list, PartHolder{part, Hash(id)})
 		}
 	}
 	return list
 }
 
 // Recall takes what another router knew of holders. What is known here is newer.
-func (b *Balancer) Recall(list []Holding, now time.Time) {
+func (b *Balancer) Recall(list []PartHolder, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range list {
