--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -139,7 +139,7 @@
 
 // noteCrash records a crash against the request under which a replica crashed.
 func (f *Front) noteCrash(id string, b brokenRequest, now time.Time) {
-	f.poison.Crashed(b.digest, balance.Hash(id+b.incarnation), b.at, now)
+	f.poison.Crashed(b.digest, balance.ReplicaHash(id+b.incarnation), b.at, now)
 	f.log.Write(event.ReplicaEnded, append(b.fields, event.F("seen_after_ms", now.Sub(b.at).Milliseconds()))...)
 }
 
--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -78,7 +78,7 @@
 	for _, r := range fleet {
 		r.awaitRound(t)
 	}
-	holding := balance.PartHolder{Part: 7, Replica: balance.Hash("b")}
+	holding := balance.PartHolder{Part: 7, Replica: balance.ReplicaHash("b")}
 	fleet[5].balancer.MergeRumors(balance.Rumors{Holders: []balance.PartHolder{holding}}, time.Now())
 	for _, r := range fleet {
 		until(t, func() bool { return slices.Contains(r.balancer.Holders(time.Now()), holding) })
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -227,7 +227,7 @@
 func TestDamagedDigestsAreReadAsFarAsTheyGo(t *testing.T) {
 	now := time.Now()
 	told := decode(&gossippb.Digest{Replica: []uint32{1, 2}, Running: []uint32{3}, Failed: []uint32{1}, Failure: []uint32{2}, Part: []uint64{1}}, now)
-	assert.Equal(t, balance.PeerUpdate{Running: []balance.Count{{Replica: 1, Running: 3}}}, told)
+	assert.Equal(t, balance.PeerUpdate{Running: []balance.ReplicaCount{{Replica: 1, Running: 3}}}, told)
 	assert.Empty(t, decodeRows([]string{"a"}, nil))
 	assert.Equal(t, []uint16{0x0201}, decodeSingles([]byte{1, 2, 3}))
 }
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -70,7 +70,7 @@
 	return both
 }
 
-func encodeCounts(d *gossippb.Digest, counts []balance.Count) {
+func encodeCounts(d *gossippb.Digest, counts []balance.ReplicaCount) {
 	for _, c := range counts {
 		d.Replica = append(d.Replica, c.Replica)
 		d.Running = append(d.Running, uint32(c.Running))
@@ -134,7 +134,7 @@
 func decode(d *gossippb.Digest, now time.Time) balance.PeerUpdate {
 	var t balance.PeerUpdate
 	for i := range min(len(d.Replica), len(d.Running)) {
-		t.Running = append(t.Running, balance.Count{Replica: d.Replica[i], Running: int(d.Running[i])})
+		t.Running = append(t.Running, balance.ReplicaCount{Replica: d.Replica[i], Running: int(d.Running[i])})
 	}
 	for i := range min(len(d.Failed), len(d.Failure), len(d.FailedAgeMs)) {
 		t.Failures = append(t.Failures, balance.ObservedFailure{Replica: d.Failed[i], Failure: balance.Failure(d.Failure[i]), At: now.Add(-milliseconds(d.FailedAgeMs[i]))})
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -119,7 +119,7 @@
 	// lines are the sums that other lines of a large fleet told.
 	lines map[Line]peerCounts
 	// totals sums up peers and lines, as of totalsAt.
-	totals   map[uint32]Count
+	totals   map[uint32]ReplicaCount
 	totalsAt time.Time
 	byHash   map[uint32]*replica
 	// bySingle are the replicas by the short hashes of LineTold.Singles.
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -69,10 +69,10 @@
 func TestWhatOthersRunCounts(t *testing.T) {
 	b := newBalancer(engines(12))
 	home := pick(t, b, prompt(5), start).Replica.ID
-	b.MergePeer("other", PeerUpdate{Running: []Count{{Replica: Hash(home), Running: 9}}}, start)
+	b.MergePeer("other", PeerUpdate{Running: []ReplicaCount{{Replica: ReplicaHash(home), Running: 9}}}, start)
 	assert.NotEqual(t, home, pick(t, b, prompt(5), start).Replica.ID)
 	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(2*peerLife)).Replica.ID, "old counts say nothing")
-	b.MergePeer("other", PeerUpdate{Running: []Count{{Replica: Hash(home), Running: 9}}}, start)
+	b.MergePeer("other", PeerUpdate{Running: []ReplicaCount{{Replica: ReplicaHash(home), Running: 9}}}, start)
 	b.RemovePeer("other")
 	assert.Equal(t, home, pick(t, b, prompt(5), start).Replica.ID)
 }
@@ -273,7 +273,7 @@
 
 func TestAFailureThatIsToldLateCountsFromWhenItWasSeen(t *testing.T) {
 	b := newBalancer(engines(3))
-	late := PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{Hash("i-0"), Shed, start.Add(-time.Second)}, {Hash("i-1"), Refused, start.Add(-500 * time.Millisecond)}}}}
+	late := PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{ReplicaHash("i-0"), Shed, start.Add(-time.Second)}, {ReplicaHash("i-1"), Refused, start.Add(-500 * time.Millisecond)}}}}
 	b.MergePeer("other", late, start)
 	assert.False(t, b.Suspected("i-0", start), "its time is over")
 	assert.True(t, b.Suspected("i-1", start))
--- a/pkg/balance/bench_test.go
+++ b/pkg/balance/bench_test.go
@@ -13,7 +13,7 @@
 	for router := range 73 {
 		var t PeerUpdate
 		for i := range 10 {
-			t.Running = append(t.Running, Count{Replica: Hash(fmt.Sprintf("i-%d", (router*7+i)%150)), Running: 1})
+			t.Running = append(t.Running, ReplicaCount{Replica: ReplicaHash(fmt.Sprintf("i-%d", (router*7+i)%150)), Running: 1})
 		}
 		balancer.MergePeer(fmt.Sprint(router), t, now)
 	}
@@ -34,10 +34,10 @@
 			for line := range 16 {
 				var told LineCounts
 				for i := range n / 2 {
-					told.Singles = append(told.Singles, uint16(Hash(fmt.Sprintf("i-%d", (line+i)%n))))
+					told.Singles = append(told.Singles, uint16(ReplicaHash(fmt.Sprintf("i-%d", (line+i)%n))))
 				}
 				for i := n / 2; i < n*3/4; i++ {
-					told.Counts = append(told.Counts, Count{Replica: Hash(fmt.Sprintf("i-%d", (line+i)%n)), Running: 2})
+					told.Counts = append(told.Counts, ReplicaCount{Replica: ReplicaHash(fmt.Sprintf("i-%d", (line+i)%n)), Running: 2})
 				}
 				balancer.MergeLine(Line{line, 16}, told, Rumors{}, now)
 			}
--- a/pkg/balance/evidence_test.go
+++ b/pkg/balance/evidence_test.go
@@ -98,10 +98,10 @@
 	assert.Empty(t, b.TakePeerUpdate(start).Failures)
 	other := newBalancer(engines(12))
 	other.SetLarge(true)
-	other.MergePeer("b", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{Hash("i-4"), Errored, start}}}}, start)
+	other.MergePeer("b", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{ReplicaHash("i-4"), Errored, start}}}}, start)
 	assert.True(t, other.Suspected("i-4", start))
 	assert.Len(t, other.TakePeerUpdate(start).Failures, 1)
-	other.MergePeer("b", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{Hash("i-4"), Errored, start}}}}, start)
+	other.MergePeer("b", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{ReplicaHash("i-4"), Errored, start}}}}, start)
 	assert.Empty(t, other.TakePeerUpdate(start).Failures)
 }
 
--- a/pkg/balance/lines.go
+++ b/pkg/balance/lines.go
@@ -6,7 +6,7 @@
 // a line or none, so those with one take two bytes each.
 type LineCounts struct {
 	// Counts are the replicas that run more than one request of the line.
-	Counts []Count
+	Counts []ReplicaCount
 	// Singles are the short hashes of those that run one. Two replicas may share a
 	// short hash; one request more or less does no harm.
 	Singles []uint16
@@ -17,7 +17,7 @@
 func (b *Balancer) SumLine(now time.Time) LineCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	sums := make(map[uint32]Count)
+	sums := make(map[uint32]ReplicaCount)
 	for _, p := range b.peers {
 		p.addTo(sums, now)
 	}
@@ -34,7 +34,7 @@
 			told.Singles = append(told.Singles, uint16(short))
 			continue
 		}
-		told.Counts = append(told.Counts, Count{Replica: short, Running: sum.Running})
+		told.Counts = append(told.Counts, ReplicaCount{Replica: short, Running: sum.Running})
 	}
 	return told
 }
@@ -48,7 +48,7 @@
 	counts := newPeerCounts(told.Counts, now)
 	for _, single := range told.Singles {
 		for _, r := range b.bySingle[single] {
-			counts.running[r.short] = Count{Replica: r.short, Running: 1}
+			counts.running[r.short] = ReplicaCount{Replica: r.short, Running: 1}
 		}
 	}
 	b.lines[line] = counts
--- a/pkg/balance/load_test.go
+++ b/pkg/balance/load_test.go
@@ -47,7 +47,7 @@
 		list[2].MergePeer(fmt.Sprint(i), b.TakePeerUpdate(start), start)
 	}
 	sums := list[2].SumLine(start)
-	assert.Equal(t, []Count{{Replica: Hash(home), Running: 2 + 3 + 4}}, sums.Counts)
+	assert.Equal(t, []ReplicaCount{{Replica: ReplicaHash(home), Running: 2 + 3 + 4}}, sums.Counts)
 	assert.Empty(t, sums.Singles)
 	last := list[3]
 	last.MergeLine(Line{1, 8}, sums, Rumors{}, start)
@@ -85,7 +85,7 @@
 		list[0].Started("i-3")
 	}
 	told := list[0].SumLine(start)
-	assert.Equal(t, []Count{{Replica: Hash("i-3"), Running: 5}}, told.Counts)
+	assert.Equal(t, []ReplicaCount{{Replica: ReplicaHash("i-3"), Running: 5}}, told.Counts)
 	assert.Len(t, told.Singles, 9)
 
 	// Lists differ while replicas come and go.
@@ -120,8 +120,8 @@
 	for _, late := range []time.Duration{0, 3 * time.Millisecond, 300 * time.Millisecond} {
 		seen := start.Add(late)
 		b.MergePeer("other", PeerUpdate{Rumors: Rumors{
-			Failures: []ObservedFailure{{Hash("i-2"), Refused, seen}},
-			Holders:  []PartHolder{{Part: 77, Replica: Hash("i-3")}},
+			Failures: []ObservedFailure{{ReplicaHash("i-2"), Refused, seen}},
+			Holders:  []PartHolder{{Part: 77, Replica: ReplicaHash("i-3")}},
 		}}, seen.Add(10*time.Millisecond))
 		told := b.TakePeerUpdate(seen.Add(20 * time.Millisecond))
 		first := late == 0
@@ -138,12 +138,12 @@
 	assert.Empty(t, b.TakePeerUpdate(start).Holders, "the first home")
 	second := pick(t, b, prompt(5), start, home).Replica.ID
 	b.Answered(second, prompt(5), start)
-	assert.Equal(t, []PartHolder{{prompt(5)[1].ID, Hash(second)}}, b.TakePeerUpdate(start).Holders)
+	assert.Equal(t, []PartHolder{{prompt(5)[1].ID, ReplicaHash(second)}}, b.TakePeerUpdate(start).Holders)
 }
 
 func TestOldFailuresAreNotPassedOn(t *testing.T) {
 	b := largeFleet(1)[0]
-	b.MergePeer("other", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{Hash("i-2"), Refused, start.Add(-rumorLife - 1)}}}}, start)
+	b.MergePeer("other", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{ReplicaHash("i-2"), Refused, start.Add(-rumorLife - 1)}}}}, start)
 	assert.Empty(t, b.TakePeerUpdate(start).Failures)
 }
 
--- a/pkg/balance/peers.go
+++ b/pkg/balance/peers.go
@@ -9,31 +9,31 @@
 // PeerUpdate is what one router tells the others. Replicas are named by Hash of
 // their ids.
 type PeerUpdate struct {
-	Running []Count
+	Running []ReplicaCount
 	Rumors
 }
 
-// Count is what a router runs at a replica.
-type Count struct {
+// ReplicaCount is what a router runs at a replica.
+type ReplicaCount struct {
 	Replica uint32
 	// Running is the number of requests.
 	Running int
 }
 
-// Hash names a replica among routers.
-func Hash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
+// ReplicaHash names a replica among routers.
+func ReplicaHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 // peerLife is how long another router's counts say something.
 const peerLife = 2500 * time.Millisecond
 
 // peerCounts are the requests that one router runs, or one line, by replica.
 type peerCounts struct {
-	running map[uint32]Count
+	running map[uint32]ReplicaCount
 	at      time.Time
 }
 
-func newPeerCounts(list []Count, now time.Time) peerCounts {
-	counts := peerCounts{running: make(map[uint32]Count, len(list)), at: now}
+func newPeerCounts(list []ReplicaCount, now time.Time) peerCounts {
+	counts := peerCounts{running: make(map[uint32]ReplicaCount, len(list)), at: now}
 	for _, c := range list {
 		counts.running[c.Replica] = c
 	}
@@ -41,7 +41,7 @@
 }
 
 // addTo adds the counts to sums while they say something.
-func (p peerCounts) addTo(sums map[uint32]Count, now time.Time) {
+func (p peerCounts) addTo(sums map[uint32]ReplicaCount, now time.Time) {
 	if now.Sub(p.at) >= peerLife {
 		return
 	}
@@ -60,7 +60,7 @@
 	b.untold = Rumors{}
 	for _, r := range b.replicas {
 		if r.running > 0 {
-			told.Running = append(told.Running, Count{r.short, r.running})
+			told.Running = append(told.Running, ReplicaCount{r.short, r.running})
 		}
 	}
 	return told
@@ -89,7 +89,7 @@
 const totalsLife = 50 * time.Millisecond
 
 // others returns what the other routers run at a replica.
-func (b *Balancer) others(hash uint32, now time.Time) Count {
+func (b *Balancer) others(hash uint32, now time.Time) ReplicaCount {
 	if b.totals == nil || now.Sub(b.totalsAt) > totalsLife || now.Before(b.totalsAt) {
 		b.sumOthers(now)
 	}
@@ -98,7 +98,7 @@
 
 // sumOthers adds up what the other routers told lately.
 func (b *Balancer) sumOthers(now time.Time) {
-	b.totals, b.totalsAt = make(map[uint32]Count), now
+	b.totals, b.totalsAt = make(map[uint32]ReplicaCount), now
 	for _, p := range b.peers {
 		p.addTo(b.totals, now)
 	}
--- a/pkg/balance/plain_test.go
+++ b/pkg/balance/plain_test.go
@@ -12,7 +12,7 @@
 // those that were full turned away 1,189 of 12,746 in the day.
 func TestALargeFleetDoesNotFillOneReplicaAfterTheOther(t *testing.T) {
 	const routers = 300
-	told := PeerUpdate{Running: []Count{{Hash("i-0"), 6}, {Hash("i-1"), 12}, {Hash("i-2"), 0}}}
+	told := PeerUpdate{Running: []ReplicaCount{{ReplicaHash("i-0"), 6}, {ReplicaHash("i-1"), 12}, {ReplicaHash("i-2"), 0}}}
 	got := make(map[string]int)
 	for seed := range uint64(routers) {
 		b := New(seed)
--- a/pkg/balance/replicas.go
+++ b/pkg/balance/replicas.go
@@ -22,7 +22,7 @@
 	for _, r := range list {
 		known := b.replicas[r.ID]
 		if known == nil {
-			known = &replica{hash: hashText(r.ID), short: Hash(r.ID)}
+			known = &replica{hash: hashText(r.ID), short: ReplicaHash(r.ID)}
 			if now.Sub(b.listed) > settleTime {
 				known.joined = now
 			}
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -53,8 +53,8 @@
 	assert.Equal(t, []string{"a"}, told, "once")
 	// What comes late of the earlier life changes nothing.
 	other.MergeRumors(Rumors{
-		Failures: []ObservedFailure{{Hash("a"), Refused, now.Add(-time.Second)}},
-		Holders:  []PartHolder{{5, Hash("a")}},
+		Failures: []ObservedFailure{{ReplicaHash("a"), Refused, now.Add(-time.Second)}},
+		Holders:  []PartHolder{{5, ReplicaHash("a")}},
 	}, now.Add(100*time.Millisecond))
 	assert.Empty(t, other.Holders(now.Add(100*time.Millisecond)))
 	assert.False(t, other.Suspected("a", now.Add(100*time.Millisecond)))
@@ -66,7 +66,7 @@
 func TestAFailureOfAnUnknownKindChangesNothing(t *testing.T) {
 	now := time.Now()
 	b := twoEngines(now)
-	b.MergeRumors(Rumors{Failures: []ObservedFailure{{Hash("a"), Restart + 1, now}}}, now)
+	b.MergeRumors(Rumors{Failures: []ObservedFailure{{ReplicaHash("a"), Restart + 1, now}}}, now)
 	assert.False(t, b.Suspected("a", now))
 }
 
--- a/pkg/balance/rumors.go
+++ b/pkg/balance/rumors.go
@@ -73,13 +73,13 @@
 		return
 	}
 	if len(b.untold.Failures) < b.maxTold(maxToldFailures) {
-		b.untold.Failures = append(b.untold.Failures, ObservedFailure{Hash(r.ID), kind, now})
+		b.untold.Failures = append(b.untold.Failures, ObservedFailure{ReplicaHash(r.ID), kind, now})
 	}
 }
 
 func (b *Balancer) tellHolder(part uint64, r *replica) {
 	if len(b.untold.Holders) < b.maxTold(maxToldHolders) {
-		b.untold.Holders = append(b.untold.Holders, PartHolder{part, Hash(r.ID)})
+		b.untold.Holders = append(b.untold.Holders, PartHolder{part, ReplicaHash(r.ID)})
 	}
 }
 
@@ -147,7 +147,7 @@
 	var list []PartHolder
 	for _, part := range b.holders.parts.Keys() {
 		for _, id := range b.holders.list(part, now) {
-			list = append(list, PartHolder{part, Hash(id)})
+			list = append(list, PartHolder{part, ReplicaHash(id)})
 		}
 	}
 	return list
--- a/pkg/balance/tellingfleet_test.go
+++ b/pkg/balance/tellingfleet_test.go
@@ -138,8 +138,8 @@
 	}
 	var told LineCounts
 	for replica, n := range sums {
-		told.Counts = append(told.Counts, Count{replica, n})
+		told.Counts = append(told.Counts, ReplicaCount{replica, n})
 	}
-	slices.SortFunc(told.Counts, func(a, b Count) int { return cmp.Compare(a.Replica, b.Replica) })
+	slices.SortFunc(told.Counts, func(a, b ReplicaCount) int { return cmp.Compare(a.Replica, b.Replica) })
 	f.routers[router].MergeLine(Line{line, f.lines}, told, Rumors{}, f.now)
 }
--- a/pkg/balance/without_test.go
+++ b/pkg/balance/without_test.go
@@ -74,7 +74,7 @@
 			return pickFrom(b, "dc0", prompt(5)).Replica.ID
 		},
 		"rumors": func(b *Balancer) any {
-			b.MergePeer("other", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{Hash(home.ID), Refused, start}}}}, start)
+			b.MergePeer("other", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{ReplicaHash(home.ID), Refused, start}}}}, start)
 			return pickFrom(b, "dc0", prompt(5)).Replica.ID
 		},
 		"last_resort": func(b *Balancer) any {
