--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -47,7 +47,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	w.balancer.Replace(w.directory.List(), w.directory.Read())
+	w.balancer.SetReplicas(w.directory.List(), w.directory.Read())
 	w.mark, w.plainMark = w.directory.Mark(directory.WithStarts), w.directory.Mark(directory.Plain)
 	w.notifyUpdate()
 	for _, c := range changes {
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -27,7 +27,7 @@
 
 func newBalancer(list []directory.Replica) *Balancer {
 	b := New(1)
-	b.Replace(list, start)
+	b.SetReplicas(list, start)
 	return b
 }
 
@@ -40,7 +40,7 @@
 
 func TestRoutersAgreeOnHomesWithoutAWord(t *testing.T) {
 	one, two := newBalancer(engines(12)), New(2)
-	two.Replace(engines(12), start)
+	two.SetReplicas(engines(12), start)
 	homes := make(map[string]int)
 	for part := range uint64(600) {
 		c := pick(t, one, prompt(part), start)
@@ -93,7 +93,7 @@
 		held[part] = c.Replica.ID
 		b.Answered(c.Replica.ID, prompt(part), start)
 	}
-	b.Replace(engines(16), start)
+	b.SetReplicas(engines(16), start)
 	for part, id := range held {
 		c := pick(t, b, prompt(part), start)
 		assert.Equal(t, id, c.Replica.ID)
@@ -125,7 +125,7 @@
 			list[i].State = directory.Draining
 		}
 	}
-	b.Replace(list, start)
+	b.SetReplicas(list, start)
 	c := pick(t, b, prompt(5), start)
 	assert.NotEqual(t, home.Replica.ID, c.Replica.ID)
 	assert.Equal(t, home.Replica.Address, c.CopySource)
@@ -245,7 +245,7 @@
 			list[i].State = directory.Draining
 		}
 	}
-	b.Replace(list, start)
+	b.SetReplicas(list, start)
 	c := pick(t, b, prompt(5), start)
 	assert.NotEqual(t, home.ID, c.Replica.ID)
 	assert.Equal(t, home.Address, c.CopySource, "although no holder is known")
@@ -259,7 +259,7 @@
 		// The router knows of a holder of the opening, but not of one of the rest.
 		b.Held("i-3", prompt(part)[:1], start)
 		joined := start.Add(settleTime + 1)
-		b.Replace(list, joined)
+		b.SetReplicas(list, joined)
 		c := pick(t, b, prompt(part), joined)
 		if c.Replica.ID == before.ID {
 			continue
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -40,7 +40,7 @@
 	b := New(hashText(own))
 	b.SetColdBounds(coldBounds)
 	b.SetRouters(own, known, start.Add(-time.Hour))
-	b.Replace(list, start)
+	b.SetReplicas(list, start)
 	return b
 }
 
@@ -171,7 +171,7 @@
 	list := chill(engines(1), start.Add(time.Minute), 0)
 	b := New(1)
 	b.SetColdBounds(coldBounds)
-	b.Replace(list, start)
+	b.SetReplicas(list, start)
 	_, found := b.Pick(question(1), start)
 	assert.False(t, found, "nobody said which routers there are")
 	b.SetRouters("a", []string{"a"}, start)
@@ -205,7 +205,7 @@
 	for i := range list {
 		list[i].Evacuated = list[i].DataCentre == first.Replica.DataCentre
 	}
-	b.Replace(list, start)
+	b.SetReplicas(list, start)
 	for part := range uint64(100) {
 		assert.NotEqual(t, first.Replica.DataCentre, pick(t, b, prompt(part), start).Replica.DataCentre)
 	}
@@ -214,7 +214,7 @@
 	for i := range list {
 		list[i].Evacuated = true
 	}
-	b.Replace(list, start)
+	b.SetReplicas(list, start)
 	_, found := b.Pick(question(1), start)
 	assert.False(t, found, "not as a last resort either")
 	assert.True(t, b.Evacuated("llm"))
@@ -254,21 +254,21 @@
 	b := newBalancer(engines(20))
 	assert.False(t, b.Strained(start))
 	assert.False(t, New(1).Strained(start), "before the first list")
-	b.Replace(chill(engines(20), start.Add(time.Second), 3, 4, 5), start)
+	b.SetReplicas(chill(engines(20), start.Add(time.Second), 3, 4, 5), start)
 	pick(t, b, prompt(1), start)
 	assert.False(t, b.Strained(start), "cold ones of this service get what warm ones do")
 	_, found := b.Pick(question(1), start)
 	assert.True(t, found)
 	assert.True(t, b.Strained(start))
-	b.Replace(chill(engines(20), start.Add(time.Second), 3, 4), start)
+	b.SetReplicas(chill(engines(20), start.Add(time.Second), 3, 4), start)
 	assert.False(t, b.Strained(start), "a tenth, as in a release")
-	b.Replace(chill(engines(20), start.Add(time.Second), 3, 4, 5), start)
+	b.SetReplicas(chill(engines(20), start.Add(time.Second), 3, 4, 5), start)
 	assert.True(t, b.Strained(start))
 	assert.False(t, b.Strained(start.Add(time.Second)), "warm")
 	list := engines(20)
 	for i := range 3 {
 		list[i].Evacuated = true
 	}
-	b.Replace(list, start)
+	b.SetReplicas(list, start)
 	assert.True(t, b.Strained(start))
 }
--- a/pkg/balance/enginefleet_test.go
+++ b/pkg/balance/enginefleet_test.go
@@ -150,7 +150,7 @@
 	}
 	slices.SortFunc(list, func(a, b directory.Replica) int { return cmp.Compare(a.ID, b.ID) })
 	for _, b := range f.routers {
-		b.Replace(list, f.now)
+		b.SetReplicas(list, f.now)
 	}
 }
 
--- a/pkg/balance/evidence_test.go
+++ b/pkg/balance/evidence_test.go
@@ -111,7 +111,7 @@
 func TestALostAnswerIsToldAsABreak(t *testing.T) {
 	b := New(1)
 	b.SetLarge(true)
-	b.Replace([]directory.Replica{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, start)
+	b.SetReplicas([]directory.Replica{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, start)
 	b.Failed("a", Hung, "", start)
 	told := b.TakeRumors().Failures
 	require.Len(t, told, 1)
--- a/pkg/balance/near_test.go
+++ b/pkg/balance/near_test.go
@@ -75,7 +75,7 @@
 	home := pickFrom(b, "dc0", prompt(5)).Replica
 	b.Answered(home.ID, prompt(5), start)
 	rest := slices.DeleteFunc(slices.Clone(list), func(r directory.Replica) bool { return r.ID == home.ID })
-	b.Replace(rest, start)
+	b.SetReplicas(rest, start)
 	c := pick(t, b, prompt(5), start)
 	assert.NotEqual(t, home.ID, c.Replica.ID, "it gets no work")
 	assert.Equal(t, home.Address, c.CopySource)
@@ -85,13 +85,13 @@
 
 	b = newBalancer(list)
 	b.Answered(home.ID, prompt(5), start)
-	b.Replace(rest, start)
+	b.SetReplicas(rest, start)
 	late := start.Add(leftLife + time.Millisecond)
 	assert.NotEqual(t, home.Address, pick(t, b, prompt(5), late).CopySource)
 
 	b = newBalancer(list)
 	b.Answered(home.ID, prompt(5), start)
 	b.Failed(home.ID, Refused, "dc0", start)
-	b.Replace(rest, start)
+	b.SetReplicas(rest, start)
 	assert.NotEqual(t, home.Address, pick(t, b, prompt(5), start).CopySource, "nothing listens there")
 }
--- a/pkg/balance/opens_test.go
+++ b/pkg/balance/opens_test.go
@@ -44,9 +44,9 @@
 			for i := range list {
 				list[i].State = directory.Draining
 			}
-			b.Replace(list, start)
+			b.SetReplicas(list, start)
 		}, 0, false},
-		{"none is listed", func(b *Balancer) { b.Replace(nil, start) }, 0, false},
+		{"none is listed", func(b *Balancer) { b.SetReplicas(nil, start) }, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/pkg/balance/plain_test.go
+++ b/pkg/balance/plain_test.go
@@ -16,7 +16,7 @@
 	got := make(map[string]int)
 	for seed := range uint64(routers) {
 		b := New(seed)
-		b.Replace(engines(3), start)
+		b.SetReplicas(engines(3), start)
 		b.SetLarge(true)
 		b.MergePeer("other", told, start)
 		got[pick(t, b, nil, start).Replica.ID]++
--- a/pkg/balance/plainfleet_test.go
+++ b/pkg/balance/plainfleet_test.go
@@ -76,7 +76,7 @@
 	}
 	slices.SortFunc(list, func(a, b directory.Replica) int { return cmp.Compare(a.ID, b.ID) })
 	for _, b := range f.routers {
-		b.Replace(list, f.now)
+		b.SetReplicas(list, f.now)
 	}
 }
 
--- a/pkg/balance/replicas.go
+++ b/pkg/balance/replicas.go
@@ -6,10 +6,10 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// Replace takes the replicas of the directory, as they were at a time. Those
+// SetReplicas takes the replicas of the directory, as they were at a time. Those
 // that drain or are evacuated get no new work, but may still be copied from: the
 // one that copies asks them, no router.
-func (b *Balancer) Replace(list []directory.Replica, now time.Time) {
+func (b *Balancer) SetReplicas(list []directory.Replica, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.listed.IsZero() {
--- a/pkg/balance/rest_test.go
+++ b/pkg/balance/rest_test.go
@@ -26,7 +26,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := New(1)
 			list := []directory.Replica{{ID: "a", Service: "s", Slots: 99}, {ID: "b", Service: "s", Slots: 99}}
-			b.Replace(list, start)
+			b.SetReplicas(list, start)
 			end := start.Add(3 * time.Second)
 			b.Rests("a", end)
 			b.Rests("a", start.Add(time.Second))
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -11,7 +11,7 @@
 
 func twoEngines(now time.Time) *Balancer {
 	b := New(1)
-	b.Replace([]directory.Replica{{ID: "a", Service: "s", Address: "a:1"}, {ID: "b", Service: "s", Address: "b:1"}}, now)
+	b.SetReplicas([]directory.Replica{{ID: "a", Service: "s", Address: "a:1"}, {ID: "b", Service: "s", Address: "b:1"}}, now)
 	return b
 }
 
@@ -74,7 +74,7 @@
 	now := time.Now()
 	b := twoEngines(now)
 	b.Answered("a", sharedPrompt(), now)
-	b.Replace([]directory.Replica{{ID: "a", State: directory.Unusable}, {ID: "b", Service: "s", Address: "b:1"}}, now)
+	b.SetReplicas([]directory.Replica{{ID: "a", State: directory.Unusable}, {ID: "b", Service: "s", Address: "b:1"}}, now)
 	for range 20 {
 		choice, found := b.Pick(Request{Service: "s", Parts: sharedPrompt()}, now)
 		assert.True(t, found)
--- a/pkg/balance/without_test.go
+++ b/pkg/balance/without_test.go
@@ -18,7 +18,7 @@
 func TestEachMechanismMakesADifference(t *testing.T) {
 	home := pickFrom(newBalancer(engines(12)), "dc0", prompt(5)).Replica
 	replace := func(b *Balancer) {
-		b.Replace(slices.DeleteFunc(engines(12), func(r directory.Replica) bool { return r.ID == home.ID }), start)
+		b.SetReplicas(slices.DeleteFunc(engines(12), func(r directory.Replica) bool { return r.ID == home.ID }), start)
 	}
 	failAll := func(b *Balancer) {
 		for i := range 12 {
