--- a/internal/entry/recall.go
+++ b/internal/entry/recall.go
@@ -63,7 +63,7 @@
 	sent := steady.Now()
 	parts, err := e.outside.Held(ctx, r.Address, func(answer *http.Response) { e.front.NoteRest(r.ID, sent, answer) })
 	e.log.Write(event.EngineAsked, event.F("replica", r.ID), event.F("parts", len(parts)), event.F("error", err))
-	e.balancer.Held(r.ID, parts, steady.Now())
+	e.balancer.PartsReported(r.ID, parts, steady.Now())
 }
 
 // waitUntil waits for a condition and tells whether it came before ctx ended.
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -78,7 +78,7 @@
 func (c *call) observePace(id string) {
 	const enough = 4
 	if c.service.Engine != nil && c.chunks >= enough {
-		c.front.balancer.Paced(id, steady.Since(c.firstByte)/time.Duration(c.chunks-1))
+		c.front.balancer.RecordDuration(id, steady.Since(c.firstByte)/time.Duration(c.chunks-1))
 	}
 }
 
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -143,7 +143,7 @@
 	}
 	defer answer.Close()
 	if hung.Stop() && c.service.Engine == nil {
-		c.front.balancer.Paced(id, steady.Since(sent))
+		c.front.balancer.RecordDuration(id, steady.Since(sent))
 	}
 	c.sent.Add(1)
 	c.front.noteStatements(c.id, id, sent, answer.Response)
--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -16,7 +16,7 @@
 	d := &c.front.options.Dialect
 	id := choice.Replica.ID
 	if load, told := d.ParseLoad(answer.Header.Get(d.Load)); told {
-		c.front.balancer.Reported(id, load, steady.Now())
+		c.front.balancer.LoadReported(id, load, steady.Now())
 	}
 	if answer.Header.Get(d.NotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest {
 		drain(answer)
--- a/internal/front/statements.go
+++ b/internal/front/statements.go
@@ -52,7 +52,7 @@
 	if f.watcher.Statements().MarkResting(id, sent, until, now) {
 		f.log.Write(event.ReplicaResting, event.F("replica", id), event.F("request", request), event.F("rest_ms", rest.Milliseconds()))
 	}
-	f.balancer.Rests(id, until)
+	f.balancer.RestUntil(id, until)
 }
 
 // announcesShutdown tells whether the value of the header says so.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -253,7 +253,7 @@
 	parts := []balance.Part{{ID: 7, Tokens: 100}, {ID: 8, Tokens: 5}}
 	first := newRouter(t, &source{})
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
-	first.balancer.Held("a", parts, time.Now())
+	first.balancer.PartsReported("a", parts, time.Now())
 	second := newRouter(t, &source{}, first.gossip.Address())
 	second.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 	until(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -80,7 +80,7 @@
 func TestAReportCountsWhileItIsYoung(t *testing.T) {
 	b := newBalancer(engines(12))
 	home := pick(t, b, prompt(5), start).Replica.ID
-	b.Reported(home, 30, start)
+	b.LoadReported(home, 30, start)
 	assert.NotEqual(t, home, pick(t, b, prompt(5), start).Replica.ID)
 	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(2*reportLife)).Replica.ID)
 }
@@ -195,7 +195,7 @@
 			if i == 2 {
 				took *= 8
 			}
-			b.Paced(fmt.Sprintf("i-%d", i), took)
+			b.RecordDuration(fmt.Sprintf("i-%d", i), took)
 		}
 	}
 	for i := range 6 {
@@ -228,7 +228,7 @@
 	home := pick(t, b, prompt(5), start).Replica
 	second := pick(t, b, prompt(5), start, home.ID).Replica
 	opening := prompt(5)[:1]
-	b.Held(second.ID, opening, start)
+	b.PartsReported(second.ID, opening, start)
 	assert.Empty(t, pick(t, b, prompt(5), start, home.ID).CopySource, "all would have heard of a holder")
 	b.SetLarge(true)
 	assert.Equal(t, home.Address, pick(t, b, prompt(5), start, home.ID).CopySource, "diverted: the home is likely to hold it")
@@ -257,7 +257,7 @@
 		b := newBalancer(list[:12])
 		before := pick(t, b, prompt(part), start).Replica
 		// The router knows of a holder of the opening, but not of one of the rest.
-		b.Held("i-3", prompt(part)[:1], start)
+		b.PartsReported("i-3", prompt(part)[:1], start)
 		joined := start.Add(settleTime + 1)
 		b.SetReplicas(list, joined)
 		c := pick(t, b, prompt(part), joined)
--- a/pkg/balance/enginefleet_test.go
+++ b/pkg/balance/enginefleet_test.go
@@ -285,7 +285,7 @@
 			f.stats.late++
 		}
 		b.Answered(e.id, parts, f.now)
-		b.Reported(e.id, e.running, f.now)
+		b.LoadReported(e.id, e.running, f.now)
 	})
 	made := float64(k.tokens) * f.random.ExpFloat64()
 	broken := e.breaks && f.breaking > 0 && f.random.Float64() < f.breaking
--- a/pkg/balance/load.go
+++ b/pkg/balance/load.go
@@ -70,8 +70,8 @@
 	return max(part*b.loadFactor, leastBoundFactor)*mean + slack
 }
 
-// Reported takes the load that a replica told, in requests running and waiting.
-func (b *Balancer) Reported(id string, load int, now time.Time) {
+// LoadReported takes the load that a replica told, in requests running and waiting.
+func (b *Balancer) LoadReported(id string, load int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.replicas[id]; r != nil {
--- a/pkg/balance/pace.go
+++ b/pkg/balance/pace.go
@@ -33,9 +33,9 @@
 	p.mean += paceWeight * (sample - p.mean)
 }
 
-// Paced notes how long a replica took for a piece of work that takes about the
+// RecordDuration notes how long a replica took for a piece of work that takes about the
 // same time at each replica of its service.
-func (b *Balancer) Paced(id string, took time.Duration) {
+func (b *Balancer) RecordDuration(id string, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.replicas[id]; r != nil {
--- a/pkg/balance/rest.go
+++ b/pkg/balance/rest.go
@@ -13,8 +13,8 @@
 	resumeStep = 250 * time.Millisecond
 )
 
-// Rests notes that a replica asked for no requests until a time.
-func (b *Balancer) Rests(id string, until time.Time) {
+// RestUntil notes that a replica asked for no requests until a time.
+func (b *Balancer) RestUntil(id string, until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.replicas[id]; r != nil && until.After(r.restUntil) {
--- a/pkg/balance/rest_test.go
+++ b/pkg/balance/rest_test.go
@@ -28,8 +28,8 @@
 			list := []directory.Replica{{ID: "a", Service: "s", Slots: 99}, {ID: "b", Service: "s", Slots: 99}}
 			b.SetReplicas(list, start)
 			end := start.Add(3 * time.Second)
-			b.Rests("a", end)
-			b.Rests("a", start.Add(time.Second))
+			b.RestUntil("a", end)
+			b.RestUntil("a", start.Add(time.Second))
 			got := 0
 			for range 24 {
 				choice, found := b.Pick(Request{Service: "s", Parts: test.parts}, end.Add(test.after))
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -23,7 +23,7 @@
 	b := twoEngines(now)
 	b.Answered("a", sharedPrompt(), now)
 	b.Failed("a", Refused, "", now)
-	b.Reported("a", 50, now)
+	b.LoadReported("a", 50, now)
 	assert.True(t, b.Suspected("a", now))
 	var told []string
 	b.SetReplicaHooks(ReplicaHooks{Restarted: func(id, address string) { told = append(told, id+" "+address) }})
--- a/pkg/balance/rumors.go
+++ b/pkg/balance/rumors.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// Held takes what an engine itself said that it holds, and tells the others.
-func (b *Balancer) Held(id string, parts []Part, now time.Time) {
+// PartsReported takes what an engine itself said that it holds, and tells the others.
+func (b *Balancer) PartsReported(id string, parts []Part, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.replicas[id]
--- a/pkg/balance/without_test.go
+++ b/pkg/balance/without_test.go
@@ -63,7 +63,7 @@
 					took *= 8
 				}
 				for range paceSamples {
-					b.Paced(fmt.Sprintf("i-%d", i), took)
+					b.RecordDuration(fmt.Sprintf("i-%d", i), took)
 				}
 			}
 			return pickFrom(b, "dc0", prompt(5)).Replica.ID
