--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -82,7 +82,7 @@
 }
 
 // evacuated tells whether all replicas of the service are: there is nothing to wait for.
-func (c *call) evacuated() bool { return c.front.balancer.Evacuated(c.service.Name) }
+func (c *call) evacuated() bool { return c.front.balancer.ServiceEvacuated(c.service.Name) }
 
 // question asks for a replica that was not tried and is not excluded.
 func (c *call) question(excluded []string) balance.Request {
--- a/internal/front/eligible.go
+++ b/internal/front/eligible.go
@@ -90,7 +90,7 @@
 func (c *call) opens(now time.Time) opening {
 	excluded := c.exclusions(now)
 	var o opening
-	o.after, o.known = c.front.balancer.Opens(c.service.Name, idsOf(excluded), now)
+	o.after, o.known = c.front.balancer.AvailableIn(c.service.Name, idsOf(excluded), now)
 	for _, x := range excluded {
 		if x.Until.IsZero() {
 			continue
--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -44,7 +44,7 @@
 		for _, r := range fleet {
 			until(t, func() bool {
 				table := r.holder.Current().Table
-				return r.balancer.Ready("s") == len(list) && table != nil && table.Version() == version
+				return r.balancer.ReadyCount("s") == len(list) && table != nil && table.Version() == version
 			})
 			assert.False(t, r.holder.Current().Proven.After(read), "a proof gains nothing on its way")
 			assert.Zero(t, r.source.reads)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -150,7 +150,7 @@
 	for _, r := range []*router{second, third} {
 		until(t, r.watcher.Known)
 		assert.EqualValues(t, 4, r.holder.Current().Table.Version())
-		until(t, func() bool { return r.balancer.Ready("s") == 2 })
+		until(t, func() bool { return r.balancer.ReadyCount("s") == 2 })
 		assert.False(t, r.holder.Current().Proven.After(read), "a proof gains nothing on its way")
 		assert.Zero(t, r.source.reads)
 	}
@@ -158,7 +158,7 @@
 
 	later := time.Now()
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(5), Replicas: replicas("b")}, later)
-	until(t, func() bool { return third.holder.Current().Table.Version() == 5 && third.balancer.Ready("s") == 1 })
+	until(t, func() bool { return third.holder.Current().Table.Version() == 5 && third.balancer.ReadyCount("s") == 1 })
 	assert.False(t, third.holder.Current().Proven.After(later))
 }
 
@@ -169,10 +169,10 @@
 	second := newRouter(t, &source{err: errors.New("turned away")}, first.gossip.Address())
 	third := newRouter(t, &source{err: errors.New("turned away")}, second.gossip.Address())
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list}, time.Now())
-	until(t, func() bool { return third.balancer.Ready("s") == 2 })
+	until(t, func() bool { return third.balancer.ReadyCount("s") == 2 })
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list, Evacuated: []string{"north"}}, time.Now())
 	for _, r := range []*router{second, third} {
-		until(t, func() bool { return r.balancer.Ready("s") == 1 })
+		until(t, func() bool { return r.balancer.ReadyCount("s") == 1 })
 		assert.Zero(t, r.source.reads)
 	}
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -174,21 +174,21 @@
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: list}, now)
 	known, _ := f.Knowledge(Have{}, now)
 	other.ApplyKnowledge(known, now, now, "peer")
-	assert.Equal(t, 2, other.balancer.Ready("s"))
+	assert.Equal(t, 2, other.balancer.ReadyCount("s"))
 
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: list, Evacuated: []string{"north"}}, now.Add(time.Second))
-	assert.Equal(t, 1, f.balancer.Ready("s"))
+	assert.Equal(t, 1, f.balancer.ReadyCount("s"))
 	word := f.Digest()
 	assert.True(t, other.ApplyPeerProof(word, now.Add(time.Second)), "it is news")
 	known, _ = f.Knowledge(Have{}, now.Add(time.Second))
 	other.ApplyKnowledge(known, now.Add(time.Second), now.Add(time.Second), "peer")
-	assert.Equal(t, 1, other.balancer.Ready("s"))
+	assert.Equal(t, 1, other.balancer.ReadyCount("s"))
 	assert.False(t, other.ApplyPeerProof(word, now.Add(2*time.Second)), "both know it")
-	assert.Equal(t, 1, other.balancer.Ready("s"), "a proof takes nothing back")
+	assert.Equal(t, 1, other.balancer.ReadyCount("s"), "a proof takes nothing back")
 	assert.EqualValues(t, 1, other.log.Count(event.CentreEvacuated), "logged once")
 
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: list}, now.Add(3*time.Second))
-	assert.Equal(t, 2, f.balancer.Ready("s"))
+	assert.Equal(t, 2, f.balancer.ReadyCount("s"))
 	assert.EqualValues(t, 1, f.log.Count(event.CentreReturned))
 }
 
@@ -196,9 +196,9 @@
 	source := &fakeSource{snapshot: Snapshot{Config: config(4), Replicas: replicas("a"), Evacuated: []string{""}}}
 	f := newWatcher(source, 0)
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas("a")}, time.Now().Add(-time.Second))
-	assert.False(t, f.balancer.Evacuated("s"))
+	assert.False(t, f.balancer.ServiceEvacuated("s"))
 	assert.NoError(t, f.RefreshList(t.Context(), time.Now().Add(-500*time.Millisecond)))
-	assert.True(t, f.balancer.Evacuated("s"), "replicas of the test are in the data centre without a name")
+	assert.True(t, f.balancer.ServiceEvacuated("s"), "replicas of the test are in the data centre without a name")
 }
 
 func TestAgeIsThatOfTheOlderOfBoth(t *testing.T) {
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -210,15 +210,15 @@
 		assert.NotEqual(t, first.Replica.DataCentre, pick(t, b, prompt(part), start).Replica.DataCentre)
 	}
 	assert.Equal(t, first.Replica.Address, pick(t, b, prompt(1), start).CopySource)
-	assert.False(t, b.Evacuated("llm"))
+	assert.False(t, b.ServiceEvacuated("llm"))
 	for i := range list {
 		list[i].Evacuated = true
 	}
 	b.SetReplicas(list, start)
 	_, found := b.Pick(question(1), start)
 	assert.False(t, found, "not as a last resort either")
-	assert.True(t, b.Evacuated("llm"))
-	assert.False(t, b.Evacuated("none"))
+	assert.True(t, b.ServiceEvacuated("llm"))
+	assert.False(t, b.ServiceEvacuated("none"))
 }
 
 // A day with an evacuation: LIMIT, since the bound was that of the mean of two thirds
--- a/pkg/balance/opens.go
+++ b/pkg/balance/opens.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Opens tells in what time a replica of a service is first to be given work again: 0
+// AvailableIn tells in what time a replica of a service is first to be given work again: 0
 // if one may have it now. It returns false if no such time is known: none is listed,
 // or all are in data centres that are silent, or excluded.
-func (b *Balancer) Opens(service string, excluded []string, now time.Time) (time.Duration, bool) {
+func (b *Balancer) AvailableIn(service string, excluded []string, now time.Time) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	first, known := time.Duration(0), false
--- a/pkg/balance/opens_test.go
+++ b/pkg/balance/opens_test.go
@@ -52,7 +52,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBalancer(engines(3))
 			c.prepare(b)
-			in, known := b.Opens("llm", nil, start)
+			in, known := b.AvailableIn("llm", nil, start)
 			assert.Equal(t, c.in, in)
 			assert.Equal(t, c.known, known)
 		})
@@ -69,7 +69,7 @@
 			b.Failed(id, Refused, "dc0", start)
 		}
 	}
-	in, known := b.Opens("llm", nil, start)
+	in, known := b.AvailableIn("llm", nil, start)
 	assert.True(t, known)
 	assert.Equal(t, 2*time.Second, in, "i-4 alone would be tried after one")
 }
@@ -77,9 +77,9 @@
 func TestAReplicaThatIsExcludedOpensNothing(t *testing.T) {
 	b := newBalancer(engines(2))
 	b.Failed("i-0", Refused, "dc0", start)
-	in, known := b.Opens("llm", []string{"i-1"}, start)
+	in, known := b.AvailableIn("llm", []string{"i-1"}, start)
 	assert.True(t, known)
 	assert.Equal(t, time.Second, in)
-	_, known = b.Opens("llm", []string{"i-0", "i-1"}, start)
+	_, known = b.AvailableIn("llm", []string{"i-0", "i-1"}, start)
 	assert.False(t, known)
 }
--- a/pkg/balance/replicas.go
+++ b/pkg/balance/replicas.go
@@ -47,16 +47,16 @@
 	clear(b.medians)
 }
 
-// Evacuated tells whether a service has no replica that may get work because its data
+// ServiceEvacuated tells whether a service has no replica that may get work because its data
 // centres are evacuated.
-func (b *Balancer) Evacuated(service string) bool {
+func (b *Balancer) ServiceEvacuated(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.evacuated[service]) > 0 && len(b.services[service]) == 0
 }
 
-// Ready returns how many replicas of a service may get work.
-func (b *Balancer) Ready(service string) int {
+// ReadyCount returns how many replicas of a service may get work.
+func (b *Balancer) ReadyCount(service string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.services[service])
