--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -119,7 +119,7 @@
 	}
 	g.watcher.ApplyKnowledge(knowledge, asked, asked.Add(-milliseconds(reply.GetProofMs())), address)
 	if len(reply.Part) > 0 && g.watcher.Known() {
-		g.balancer.Recall(decodeHolders(reply.Part, reply.Holder), steady.Now())
+		g.balancer.MergeHolders(decodeHolders(reply.Part, reply.Holder), steady.Now())
 		g.recalled.Store(true)
 	}
 }
--- a/internal/gossip/round.go
+++ b/internal/gossip/round.go
@@ -28,7 +28,7 @@
 	if news {
 		g.balancer.SetRouters(g.server.Address(), known, now)
 	}
-	g.balancer.SetRecalled(g.recalled.Load())
+	g.balancer.SetHoldersSynced(g.recalled.Load())
 	g.noteLost(lost)
 	if large {
 		g.tellRumors(partners, now)
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -220,8 +220,8 @@
 	b.holders.off = set.Has(mechanism.Holders)
 }
 
-// SetRecalled tells whether who holds what has been recalled since the start.
-func (b *Balancer) SetRecalled(recalled bool) {
+// SetHoldersSynced tells whether who holds what has been recalled since the start.
+func (b *Balancer) SetHoldersSynced(recalled bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.recalled = recalled
--- a/pkg/balance/rumors.go
+++ b/pkg/balance/rumors.go
@@ -153,8 +153,8 @@
 	return list
 }
 
-// Recall takes what another router knew of holders. What is known here is newer.
-func (b *Balancer) Recall(list []PartHolder, now time.Time) {
+// MergeHolders takes what another router knew of holders. What is known here is newer.
+func (b *Balancer) MergeHolders(list []PartHolder, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range list {
