--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -114,7 +114,7 @@
 	e.balancer = balance.New(uint64(steady.Now().UnixNano()))
 	e.balancer.SetLoadFactor(b.LoadFactor)
 	e.balancer.SetColdBounds(coldBounds(b))
-	e.balancer.SetWithout(e.settings.Without)
+	e.balancer.DisableMechanisms(e.settings.Without)
 	period := readPeriod(b)
 	e.watcher = watch.New(e.source(e.settings), e.followOptions(e.settings),
 		directory.New(2*period, relistBeats*b.Heartbeat), e.holder, e.balancer, e.log)
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -212,8 +212,8 @@
 	b.loadFactor = factor
 }
 
-// SetWithout leaves mechanisms out, for experiments.
-func (b *Balancer) SetWithout(set mechanism.Set) {
+// DisableMechanisms leaves mechanisms out, for experiments.
+func (b *Balancer) DisableMechanisms(set mechanism.Set) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.without = set
--- a/pkg/balance/spread_test.go
+++ b/pkg/balance/spread_test.go
@@ -78,7 +78,7 @@
 	})
 	t.Run("without it", func(t *testing.T) {
 		b, _ := full(t)
-		b.SetWithout(mechanism.Set(mechanism.Spread))
+		b.DisableMechanisms(mechanism.Set(mechanism.Spread))
 		assert.Equal(t, 1, chosen(t, b, start))
 	})
 }
--- a/pkg/balance/without_test.go
+++ b/pkg/balance/without_test.go
@@ -88,7 +88,7 @@
 			with, without := newBalancer(engines(12)), newBalancer(engines(12))
 			set, err := mechanism.Parse(name)
 			require.NoError(t, err)
-			without.SetWithout(set)
+			without.DisableMechanisms(set)
 			assert.NotEqual(t, decide(with), decide(without))
 		})
 	}
