--- a/internal/gossip/round.go
+++ b/internal/gossip/round.go
@@ -33,7 +33,7 @@
 	if large {
 		g.tellRumors(partners, now)
 	}
-	if large && round%largeRounds != 0 && !g.balancer.Strained(now) {
+	if large && round%largeRounds != 0 && !g.balancer.CapacityReduced(now) {
 		return
 	}
 	d := g.digests(now, large)
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -157,10 +157,10 @@
 // strainedPart is the part of the replicas beyond which idle ones strain the others.
 const strainedPart = 0.1
 
-// Strained tells whether many replicas are idle, being evacuated or held back while they
+// CapacityReduced tells whether many replicas are idle, being evacuated or held back while they
 // are cold, so that the others are nearer to the users' bound: routers are to know sooner
 // what each runs.
-func (b *Balancer) Strained(now time.Time) bool {
+func (b *Balancer) CapacityReduced(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	idle := 0
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -252,23 +252,23 @@
 
 func TestRoutersAreStrainedWhileManyReplicasAreIdle(t *testing.T) {
 	b := newBalancer(engines(20))
-	assert.False(t, b.Strained(start))
-	assert.False(t, New(1).Strained(start), "before the first list")
+	assert.False(t, b.CapacityReduced(start))
+	assert.False(t, New(1).CapacityReduced(start), "before the first list")
 	b.SetReplicas(chill(engines(20), start.Add(time.Second), 3, 4, 5), start)
 	pick(t, b, prompt(1), start)
-	assert.False(t, b.Strained(start), "cold ones of this service get what warm ones do")
+	assert.False(t, b.CapacityReduced(start), "cold ones of this service get what warm ones do")
 	_, found := b.Pick(question(1), start)
 	assert.True(t, found)
-	assert.True(t, b.Strained(start))
+	assert.True(t, b.CapacityReduced(start))
 	b.SetReplicas(chill(engines(20), start.Add(time.Second), 3, 4), start)
-	assert.False(t, b.Strained(start), "a tenth, as in a release")
+	assert.False(t, b.CapacityReduced(start), "a tenth, as in a release")
 	b.SetReplicas(chill(engines(20), start.Add(time.Second), 3, 4, 5), start)
-	assert.True(t, b.Strained(start))
-	assert.False(t, b.Strained(start.Add(time.Second)), "warm")
+	assert.True(t, b.CapacityReduced(start))
+	assert.False(t, b.CapacityReduced(start.Add(time.Second)), "warm")
 	list := engines(20)
 	for i := range 3 {
 		list[i].Evacuated = true
 	}
 	b.SetReplicas(list, start)
-	assert.True(t, b.Strained(start))
+	assert.True(t, b.CapacityReduced(start))
 }
