--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -76,7 +76,7 @@
 	}
 	centre := g.centres[address]
 	g.mu.Unlock()
-	if g.balancer.CentreSilent(centre, false) {
+	if g.balancer.SetCentreSilent(centre, false) {
 		g.log.Write(event.CentreHeard, event.F("data_centre", centre), event.F("peer", address))
 	}
 	if fresh {
--- a/internal/gossip/silence.go
+++ b/internal/gossip/silence.go
@@ -73,7 +73,7 @@
 	silent := g.silentCentres(now)
 	g.mu.Unlock()
 	for _, name := range silent {
-		if g.balancer.CentreSilent(name, true) {
+		if g.balancer.SetCentreSilent(name, true) {
 			g.log.Write(event.CentreSilent, event.F("data_centre", name))
 		}
 	}
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -315,8 +315,8 @@
 
 func TestTheBoundIsThatOfTheEnginesWithinReach(t *testing.T) {
 	b := newBalancer(engines(12))
-	b.CentreSilent("dc1", true)
-	b.CentreSilent("dc2", true)
+	b.SetCentreSilent("dc1", true)
+	b.SetCentreSilent("dc2", true)
 	home := pick(t, b, prompt(5), start)
 	assert.Equal(t, "dc0", home.Replica.DataCentre)
 	for _, id := range []string{"i-0", "i-3", "i-6", "i-9"} {
--- a/pkg/balance/health.go
+++ b/pkg/balance/health.go
@@ -221,10 +221,10 @@
 	c.failed(Unreachable, now)
 }
 
-// CentreSilent notes whether the routers of a data centre were heard, and tells
+// SetCentreSilent notes whether the routers of a data centre were heard, and tells
 // whether that changed. A cut that keeps routers apart keeps replicas apart too,
 // and silence shows sooner than a request that got no answer.
-func (b *Balancer) CentreSilent(name string, silent bool) bool {
+func (b *Balancer) SetCentreSilent(name string, silent bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.silent[name] == silent || b.without.Has(mechanism.Silence) {
--- a/pkg/balance/opens_test.go
+++ b/pkg/balance/opens_test.go
@@ -31,12 +31,12 @@
 		}, 150 * time.Millisecond, true},
 		{"silent data centres don't tell when they are back", func(b *Balancer) {
 			fail("i-0")(b)
-			b.CentreSilent("dc1", true)
-			b.CentreSilent("dc2", true)
+			b.SetCentreSilent("dc1", true)
+			b.SetCentreSilent("dc2", true)
 		}, time.Second, true},
 		{"all are silent", func(b *Balancer) {
 			for _, centre := range []string{"dc0", "dc1", "dc2"} {
-				b.CentreSilent(centre, true)
+				b.SetCentreSilent(centre, true)
 			}
 		}, 0, false},
 		{"those that drain never are", func(b *Balancer) {
--- a/pkg/balance/reach_test.go
+++ b/pkg/balance/reach_test.go
@@ -39,7 +39,7 @@
 		}, []step{{2, false}, {3, false}}},
 		{"silent data centres alone say nothing", func(b *Balancer) {
 			for _, centre := range []string{"dc0", "dc1", "dc2"} {
-				b.CentreSilent(centre, true)
+				b.SetCentreSilent(centre, true)
 			}
 		}, []step{{0, false}, {1, false}}},
 	}
--- a/pkg/balance/without_test.go
+++ b/pkg/balance/without_test.go
@@ -53,7 +53,7 @@
 			return pickFrom(b, "dc0", prompt(5)).Replica.ID
 		},
 		"silence": func(b *Balancer) any {
-			b.CentreSilent(home.DataCentre, true)
+			b.SetCentreSilent(home.DataCentre, true)
 			return pickFrom(b, "elsewhere", prompt(5)).Replica.ID
 		},
 		"pace": func(b *Balancer) any {
