--- a/internal/gossip/round.go
+++ b/internal/gossip/round.go
@@ -24,7 +24,7 @@
 	g.round++
 	round := g.round
 	g.mu.Unlock()
-	g.balancer.SetLarge(large)
+	g.balancer.SetLargeFleet(large)
 	if news {
 		g.balancer.SetRouters(g.server.Address(), known, now)
 	}
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -196,9 +196,9 @@
 	}
 }
 
-// SetLarge tells whether the fleet is too large for each router to tell each
+// SetLargeFleet tells whether the fleet is too large for each router to tell each
 // other one what it runs and what it saw.
-func (b *Balancer) SetLarge(large bool) {
+func (b *Balancer) SetLargeFleet(large bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.large = large
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -136,7 +136,7 @@
 func TestAColdPartIsReadAtOneHome(t *testing.T) {
 	for _, large := range []bool{false, true} {
 		b := newBalancer(engines(12))
-		b.SetLarge(large)
+		b.SetLargeFleet(large)
 		home := pick(t, b, prompt(5), start).Replica.ID
 		for range 2 {
 			b.Started(home)
@@ -230,7 +230,7 @@
 	opening := prompt(5)[:1]
 	b.PartsReported(second.ID, opening, start)
 	assert.Empty(t, pick(t, b, prompt(5), start, home.ID).CopySource, "all would have heard of a holder")
-	b.SetLarge(true)
+	b.SetLargeFleet(true)
 	assert.Equal(t, home.Address, pick(t, b, prompt(5), start, home.ID).CopySource, "diverted: the home is likely to hold it")
 	assert.Equal(t, second.Address, pick(t, b, prompt(5), start).CopySource, "at the home: the opening from whoever holds it")
 }
@@ -238,7 +238,7 @@
 func TestTheNextHomeCopiesFromOneThatDrains(t *testing.T) {
 	list := engines(12)
 	b := newBalancer(list)
-	b.SetLarge(true)
+	b.SetLargeFleet(true)
 	home := pick(t, b, prompt(5), start).Replica
 	for i := range list {
 		if list[i].ID == home.ID {
--- a/pkg/balance/bench_test.go
+++ b/pkg/balance/bench_test.go
@@ -29,7 +29,7 @@
 	for _, n := range []int{150, 1520} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			balancer := newBalancer(engines(n))
-			balancer.SetLarge(true)
+			balancer.SetLargeFleet(true)
 			now := time.Now()
 			for line := range 16 {
 				var told LineCounts
--- a/pkg/balance/evidence_test.go
+++ b/pkg/balance/evidence_test.go
@@ -48,7 +48,7 @@
 func TestAFailureThatAllShowSaysNothing(t *testing.T) {
 	for _, large := range []bool{false, true} {
 		b := newBalancer(engines(12))
-		b.SetLarge(large)
+		b.SetLargeFleet(large)
 		serve(b, 12, 3, start)
 		// Interleaved, so that all rise together as in a fault of the whole service.
 		for range 2 {
@@ -89,7 +89,7 @@
 // What is told in a large fleet is judged by whoever saw it, and is passed on once.
 func TestInALargeFleetWhatDoesNotSpeakIsNotPassedOn(t *testing.T) {
 	b := newBalancer(engines(12))
-	b.SetLarge(true)
+	b.SetLargeFleet(true)
 	serve(b, 12, 1, start)
 	for range 8 {
 		b.own("llm").failed(start)
@@ -97,7 +97,7 @@
 	b.Failed("i-4", Errored, "dc0", start)
 	assert.Empty(t, b.TakePeerUpdate(start).Failures)
 	other := newBalancer(engines(12))
-	other.SetLarge(true)
+	other.SetLargeFleet(true)
 	other.MergePeer("b", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{ReplicaHash("i-4"), Errored, start}}}}, start)
 	assert.True(t, other.Suspected("i-4", start))
 	assert.Len(t, other.TakePeerUpdate(start).Failures, 1)
@@ -110,7 +110,7 @@
 // routers saw, each makes a hang.
 func TestALostAnswerIsToldAsABreak(t *testing.T) {
 	b := New(1)
-	b.SetLarge(true)
+	b.SetLargeFleet(true)
 	b.SetReplicas([]directory.Replica{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, start)
 	b.Failed("a", Hung, "", start)
 	told := b.TakeRumors().Failures
@@ -122,7 +122,7 @@
 	told = b.TakeRumors().Failures
 	require.NotEmpty(t, told)
 	assert.Equal(t, Hung, told[len(told)-1].Failure)
-	b.SetLarge(false)
+	b.SetLargeFleet(false)
 	b.Failed("a", Hung, "", start.Add(time.Minute))
 	told = b.TakeRumors().Failures
 	require.NotEmpty(t, told)
--- a/pkg/balance/load_test.go
+++ b/pkg/balance/load_test.go
@@ -13,7 +13,7 @@
 	var list []*Balancer
 	for range n {
 		b := newBalancer(engines(12))
-		b.SetLarge(true)
+		b.SetLargeFleet(true)
 		list = append(list, b)
 	}
 	return list
@@ -72,7 +72,7 @@
 		}
 	}
 	assert.InDelta(t, 1.7*4+2.5, pick(t, b, prompt(5), start).Bound, 1e-9)
-	b.SetLarge(true)
+	b.SetLargeFleet(true)
 	assert.InDelta(t, 1.55*4+2, pick(t, b, prompt(5), start).Bound, 1e-9)
 }
 
@@ -150,7 +150,7 @@
 func TestTheBoundFollowsWhatTheUsersAllow(t *testing.T) {
 	for _, large := range []bool{false, true} {
 		b := newBalancer(engines(12))
-		b.SetLarge(large)
+		b.SetLargeFleet(large)
 		for i := range 12 {
 			for range 10 {
 				b.Started(fmt.Sprintf("i-%d", i))
--- a/pkg/balance/plain_test.go
+++ b/pkg/balance/plain_test.go
@@ -17,7 +17,7 @@
 	for seed := range uint64(routers) {
 		b := New(seed)
 		b.SetReplicas(engines(3), start)
-		b.SetLarge(true)
+		b.SetLargeFleet(true)
 		b.MergePeer("other", told, start)
 		got[pick(t, b, nil, start).Replica.ID]++
 	}
@@ -29,7 +29,7 @@
 
 func TestALargeFleetPassesOverWhatItAvoids(t *testing.T) {
 	b := newBalancer(engines(3))
-	b.SetLarge(true)
+	b.SetLargeFleet(true)
 	b.Failed("i-0", Shed, "dc0", start)
 	b.Failed("i-1", Shed, "dc0", start)
 	for range 50 {
--- a/pkg/balance/spread_test.go
+++ b/pkg/balance/spread_test.go
@@ -15,7 +15,7 @@
 func full(t *testing.T) (b *Balancer, home string) {
 	t.Helper()
 	b = newBalancer(engines(12))
-	b.SetLarge(true)
+	b.SetLargeFleet(true)
 	home = pick(t, b, prompt(5), start).Replica.ID
 	for range 20 {
 		b.Started(home)
@@ -54,7 +54,7 @@
 	assert.Empty(t, b.TakePeerUpdate(start).Hot, "once")
 
 	other := newBalancer(engines(12))
-	other.SetLarge(true)
+	other.SetLargeFleet(true)
 	other.MergePeer("b", PeerUpdate{Rumors: told.Rumors}, start.Add(time.Second))
 	assert.Equal(t, told.Hot, other.TakePeerUpdate(start).Hot, "and passed on")
 	other.MergePeer("c", PeerUpdate{Rumors: told.Rumors}, start.Add(time.Second))
@@ -72,7 +72,7 @@
 func TestASessionIsNotSpread(t *testing.T) {
 	t.Run("in a small fleet, where all know at once", func(t *testing.T) {
 		b, _ := full(t)
-		b.SetLarge(false)
+		b.SetLargeFleet(false)
 		assert.Equal(t, 1, chosen(t, b, start))
 		assert.Empty(t, b.TakePeerUpdate(start).Hot)
 	})
--- a/pkg/balance/tellingfleet_test.go
+++ b/pkg/balance/tellingfleet_test.go
@@ -51,7 +51,7 @@
 	f := &tellingFleet{random: rand.New(rand.NewPCG(seed, seed)), now: start, lines: lines}
 	for i := range routers {
 		b := New(seed + uint64(i))
-		b.SetLarge(true)
+		b.SetLargeFleet(true)
 		f.routers = append(f.routers, b)
 		f.told = append(f.told, nil)
 	}
