--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -126,8 +126,8 @@
 	c.logChoice(choice)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	c.front.balancer.Started(id)
-	defer c.front.balancer.Finished(id)
+	c.front.balancer.RequestStarted(id)
+	defer c.front.balancer.RequestFinished(id)
 	hung := c.startSilenceTimer(c.silenceLimit(), id, cancel)
 	defer hung.Stop()
 	sent := steady.Now()
@@ -269,6 +269,6 @@
 
 // reportFailure reports a replica's failure to the balancer.
 func (f *Front) reportFailure(request, id string, kind balance.Failure) {
-	f.balancer.Failed(id, kind, f.options.DataCentre, steady.Now())
+	f.balancer.RequestFailed(id, kind, f.options.DataCentre, steady.Now())
 	f.log.Write(event.EngineSuspect, event.F("request", request), event.F("replica", id), event.F("kind", kind.String()))
 }
--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -28,7 +28,7 @@
 	if answer.StatusCode >= http.StatusInternalServerError {
 		return c.handleReplicaError(ctx, cancel, choice, answer)
 	}
-	if c.front.balancer.Answered(id, c.parts, steady.Now()) {
+	if c.front.balancer.RequestSucceeded(id, c.parts, steady.Now()) {
 		c.front.log.Write(event.EngineBack, event.F("replica", id), event.F("request", c.id))
 	}
 	c.blameReplicas()
--- a/internal/front/wait_test.go
+++ b/internal/front/wait_test.go
@@ -44,7 +44,7 @@
 	avoided := func(rest time.Duration) func(*Front, *call) {
 		return func(f *Front, _ *call) {
 			list(f, "r0")
-			f.balancer.Failed("r0", balance.Refused, "here", time.Now().Add(rest-time.Second))
+			f.balancer.RequestFailed("r0", balance.Refused, "here", time.Now().Add(rest-time.Second))
 		}
 	}
 	cases := []struct {
@@ -139,7 +139,7 @@
 		return func(f *Front) {
 			list(f, "r0", "r1")
 			for _, id := range ids {
-				f.balancer.Failed(id, kind, "here", time.Now())
+				f.balancer.RequestFailed(id, kind, "here", time.Now())
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 		replicas := []directory.Replica{{ID: "r0", Service: "s", DataCentre: "there"}}
 		f.watcher.ApplySnapshot(watch.Snapshot{Config: &config, Replicas: replicas}, time.Now())
 		f.SetLimits(Limits{KeyProof: time.Hour, AbsenceProof: time.Hour, RetryReserve: 1})
-		f.balancer.Failed("r0", balance.Unreachable, "here", time.Now())
+		f.balancer.RequestFailed("r0", balance.Unreachable, "here", time.Now())
 		_, _ = f.balancer.Pick(balance.Request{Service: "s"}, time.Now())
 		begun := time.Now()
 		answer := httptest.NewRecorder()
--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -58,7 +58,7 @@
 	for _, r := range fleet {
 		until(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
-		r.balancer.Started("a")
+		r.balancer.RequestStarted("a")
 	}
 	for _, r := range fleet {
 		until(t, func() bool {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -208,7 +208,7 @@
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 	}
 	until(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
-	first.balancer.Failed("a", balance.Refused, "", time.Now())
+	first.balancer.RequestFailed("a", balance.Refused, "", time.Now())
 	until(t, func() bool { return second.balancer.Suspected("a", time.Now()) })
 	assert.False(t, second.balancer.Suspected("b", time.Now()))
 }
--- a/pkg/balance/answered.go
+++ b/pkg/balance/answered.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Started counts a request that is about to be sent to a replica.
-func (b *Balancer) Started(id string) {
+// RequestStarted counts a request that is about to be sent to a replica.
+func (b *Balancer) RequestStarted(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.replicas[id]; r != nil {
@@ -11,8 +11,8 @@
 	}
 }
 
-// Finished ends what Started began.
-func (b *Balancer) Finished(id string) {
+// RequestFinished ends what Started began.
+func (b *Balancer) RequestFinished(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.replicas[id]; r != nil && r.running > 0 {
@@ -20,9 +20,9 @@
 	}
 }
 
-// Answered notes that a replica answered well and now holds the parts of the
+// RequestSucceeded notes that a replica answered well and now holds the parts of the
 // prompt, and tells whether that cleared it of earlier failures.
-func (b *Balancer) Answered(id string, parts []Part, now time.Time) (cleared bool) {
+func (b *Balancer) RequestSucceeded(id string, parts []Part, now time.Time) (cleared bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.replicas[id]
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -62,7 +62,7 @@
 		mean := float64(n) / 12
 		assert.LessOrEqual(t, running[c.Replica.ID], boundPart*defaultLoadFactor*mean+boundSlack, "request %d to %s", n, c.Replica.ID)
 		running[c.Replica.ID]++
-		b.Started(c.Replica.ID)
+		b.RequestStarted(c.Replica.ID)
 	}
 }
 
@@ -91,7 +91,7 @@
 	for part := range uint64(200) {
 		c := pick(t, b, prompt(part), start)
 		held[part] = c.Replica.ID
-		b.Answered(c.Replica.ID, prompt(part), start)
+		b.RequestSucceeded(c.Replica.ID, prompt(part), start)
 	}
 	b.SetReplicas(engines(16), start)
 	for part, id := range held {
@@ -104,7 +104,7 @@
 func TestHoldersAreToldAndCopiedFrom(t *testing.T) {
 	one, two := newBalancer(engines(12)), newBalancer(engines(12))
 	home := pick(t, one, prompt(5), start)
-	one.Answered(home.Replica.ID, prompt(5), start)
+	one.RequestSucceeded(home.Replica.ID, prompt(5), start)
 	told := one.TakePeerUpdate(start)
 	assert.Len(t, told.Holders, 2, "each shared part")
 	assert.Empty(t, one.TakePeerUpdate(start).Holders, "once")
@@ -119,7 +119,7 @@
 	list := engines(12)
 	b := newBalancer(list)
 	home := pick(t, b, prompt(5), start)
-	b.Answered(home.Replica.ID, prompt(5), start)
+	b.RequestSucceeded(home.Replica.ID, prompt(5), start)
 	for i := range list {
 		if list[i].ID == home.Replica.ID {
 			list[i].State = directory.Draining
@@ -139,10 +139,10 @@
 		b.SetLargeFleet(large)
 		home := pick(t, b, prompt(5), start).Replica.ID
 		for range 2 {
-			b.Started(home)
+			b.RequestStarted(home)
 			assert.Equal(t, home, pick(t, b, prompt(5), start).Replica.ID)
 		}
-		b.Answered(home, prompt(5), start)
+		b.RequestSucceeded(home, prompt(5), start)
 		assert.Equal(t, home, pick(t, b, prompt(5), start).Replica.ID)
 	}
 }
@@ -166,7 +166,7 @@
 func TestASuspectIsPassedOverAndToldOf(t *testing.T) {
 	b, other := newBalancer(engines(3)), newBalancer(engines(3))
 	home := pick(t, b, prompt(5), start).Replica.ID
-	b.Failed(home, Refused, "dc0", start)
+	b.RequestFailed(home, Refused, "dc0", start)
 	c := pick(t, b, prompt(5), start)
 	assert.NotEqual(t, home, c.Replica.ID)
 	assert.Equal(t, home, c.PassedOver)
@@ -177,13 +177,13 @@
 
 func TestTwoUnreachableReplicasSpeakAgainstTheirDataCentre(t *testing.T) {
 	b := newBalancer(engines(12))
-	b.Failed("i-1", Unreachable, "dc0", start)
+	b.RequestFailed("i-1", Unreachable, "dc0", start)
 	assert.False(t, b.Suspected("i-4", start))
-	b.Failed("i-7", Unreachable, "dc0", start)
+	b.RequestFailed("i-7", Unreachable, "dc0", start)
 	assert.True(t, b.Suspected("i-4", start), "of the same data centre")
 	assert.False(t, b.Suspected("i-5", start))
-	b.Failed("i-0", Unreachable, "dc0", start)
-	b.Failed("i-3", Unreachable, "dc0", start)
+	b.RequestFailed("i-0", Unreachable, "dc0", start)
+	b.RequestFailed("i-3", Unreachable, "dc0", start)
 	assert.False(t, b.Suspected("i-6", start), "not of the own one")
 }
 
@@ -212,8 +212,8 @@
 	for range 20 {
 		assert.Equal(t, "i-0", pick(t, b, nil, start).Replica.ID)
 	}
-	b.Started("i-0")
-	b.Started("i-0")
+	b.RequestStarted("i-0")
+	b.RequestStarted("i-0")
 	assert.NotEqual(t, "i-0", pick(t, b, nil, start).Replica.ID)
 	_, found := b.Pick(Request{Service: "llm", Tried: []string{"i-0", "i-1", "i-2"}}, start)
 	assert.False(t, found)
@@ -286,15 +286,15 @@
 func TestPartsKeepTheirHomeWhileAllEnginesAreSuspected(t *testing.T) {
 	b := newBalancer(engines(12))
 	for i := range 12 {
-		b.Failed(fmt.Sprintf("i-%d", i), Refused, "dc0", start)
+		b.RequestFailed(fmt.Sprintf("i-%d", i), Refused, "dc0", start)
 	}
 	places := make(map[string]bool)
 	for range 3 {
 		c := pick(t, b, prompt(5), start)
 		assert.Equal(t, LastResort, c.Reason)
 		places[c.Replica.ID] = true
-		b.Answered(c.Replica.ID, prompt(5), start)
-		b.Started(c.Replica.ID)
+		b.RequestSucceeded(c.Replica.ID, prompt(5), start)
+		b.RequestStarted(c.Replica.ID)
 	}
 	assert.Len(t, places, 1)
 }
@@ -302,13 +302,13 @@
 func TestTheLastResortKeepsABoundOfItsOwn(t *testing.T) {
 	b := newBalancer(engines(12))
 	for i := range 12 {
-		b.Failed(fmt.Sprintf("i-%d", i), Refused, "dc0", start)
+		b.RequestFailed(fmt.Sprintf("i-%d", i), Refused, "dc0", start)
 	}
 	running := make(map[string]int)
 	for range 120 {
 		c := pick(t, b, prompt(5), start)
 		running[c.Replica.ID]++
-		b.Started(c.Replica.ID)
+		b.RequestStarted(c.Replica.ID)
 	}
 	assert.Greater(t, len(running), 5, "one part alone does not pile up on one engine")
 }
@@ -321,7 +321,7 @@
 	assert.Equal(t, "dc0", home.Replica.DataCentre)
 	for _, id := range []string{"i-0", "i-3", "i-6", "i-9"} {
 		for range 8 {
-			b.Started(id)
+			b.RequestStarted(id)
 		}
 	}
 	c := pick(t, b, prompt(5), start)
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -79,11 +79,11 @@
 		parts []Part
 		spoil func(b *Balancer)
 	}{
-		"a prompt, the others failing": {prompt(1), func(b *Balancer) { b.Failed("i-1", Refused, "dc0", start) }},
-		"plain, the others failing":    {nil, func(b *Balancer) { b.Failed("i-1", Refused, "dc0", start) }},
+		"a prompt, the others failing": {prompt(1), func(b *Balancer) { b.RequestFailed("i-1", Refused, "dc0", start) }},
+		"plain, the others failing":    {nil, func(b *Balancer) { b.RequestFailed("i-1", Refused, "dc0", start) }},
 		"a prompt, the others full": {prompt(1), func(b *Balancer) {
 			for range 40 {
-				b.Started("i-1")
+				b.RequestStarted("i-1")
 			}
 		}},
 		"a prompt, the others tried": {prompt(1), func(*Balancer) {}},
@@ -200,7 +200,7 @@
 func TestAnEvacuatedReplicaGetsNothingButIsCopiedFrom(t *testing.T) {
 	b := newBalancer(engines(6))
 	first := pick(t, b, prompt(1), start)
-	b.Answered(first.Replica.ID, prompt(1), start)
+	b.RequestSucceeded(first.Replica.ID, prompt(1), start)
 	list := engines(6)
 	for i := range list {
 		list[i].Evacuated = list[i].DataCentre == first.Replica.DataCentre
@@ -239,7 +239,7 @@
 			for i := range list {
 				for range 9 {
 					if list[i].DataCentre != "dc2" {
-						b.Started(list[i].ID)
+						b.RequestStarted(list[i].ID)
 					}
 				}
 			}
--- a/pkg/balance/enginefleet_test.go
+++ b/pkg/balance/enginefleet_test.go
@@ -266,7 +266,7 @@
 	}
 	e := f.engines[choice.Replica.ID]
 	if e.gone {
-		b.Failed(e.id, Refused, "", f.now)
+		b.RequestFailed(e.id, Refused, "", f.now)
 		f.send(k, router, parts, append(tried, e.id), arrived)
 		return
 	}
@@ -275,7 +275,7 @@
 	if choice.PassedOver != "" {
 		f.stats.diverted++
 	}
-	b.Started(e.id)
+	b.RequestStarted(e.id)
 	e.running++
 	first := f.read(e, f.engines[choice.CopySource], parts)
 	f.after(first, func() {
@@ -284,7 +284,7 @@
 		} else {
 			f.stats.late++
 		}
-		b.Answered(e.id, parts, f.now)
+		b.RequestSucceeded(e.id, parts, f.now)
 		b.LoadReported(e.id, e.running, f.now)
 	})
 	made := float64(k.tokens) * f.random.ExpFloat64()
@@ -295,10 +295,10 @@
 	pause := f.pause + tokenPauseMore*float64(e.running)
 	f.after(first+time.Duration(made*pause*float64(time.Second)), func() {
 		e.running--
-		b.Finished(e.id)
+		b.RequestFinished(e.id)
 		if broken {
 			f.stats.broken++
-			b.Failed(e.id, Broke, e.centre, f.now)
+			b.RequestFailed(e.id, Broke, e.centre, f.now)
 		}
 	})
 }
--- a/pkg/balance/evidence_test.go
+++ b/pkg/balance/evidence_test.go
@@ -15,7 +15,7 @@
 func serve(b *Balancer, engines, times int, now time.Time) {
 	for range times {
 		for i := range engines {
-			b.Answered(fmt.Sprintf("i-%d", i), nil, now)
+			b.RequestSucceeded(fmt.Sprintf("i-%d", i), nil, now)
 		}
 	}
 }
@@ -25,7 +25,7 @@
 		b, other := newBalancer(engines(12)), newBalancer(engines(12))
 		serve(b, 12, 4, start)
 		for range 3 {
-			b.Failed("i-4", kind, "dc0", start)
+			b.RequestFailed("i-4", kind, "dc0", start)
 		}
 		assert.True(t, b.Suspected("i-4", start), kind)
 		assert.False(t, b.Suspected("i-5", start), kind)
@@ -39,9 +39,9 @@
 func TestAFailureNowAndThenSaysNothing(t *testing.T) {
 	b := newBalancer(engines(12))
 	serve(b, 12, 10, start)
-	b.Failed("i-4", Broke, "dc0", start)
+	b.RequestFailed("i-4", Broke, "dc0", start)
 	assert.False(t, b.Suspected("i-4", start))
-	b.Failed("i-4", Errored, "dc0", start.Add(3*evidenceLife))
+	b.RequestFailed("i-4", Errored, "dc0", start.Add(3*evidenceLife))
 	assert.False(t, b.Suspected("i-4", start.Add(3*evidenceLife)), "the first is forgotten")
 }
 
@@ -57,7 +57,7 @@
 				b.replicas[fmt.Sprintf("i-%d", i)].bad.failed(start)
 			}
 		}
-		b.Failed("i-4", Errored, "dc0", start)
+		b.RequestFailed("i-4", Errored, "dc0", start)
 		assert.False(t, b.Suspected("i-4", start), "large %v", large)
 	}
 }
@@ -66,11 +66,11 @@
 	b := newBalancer(engines(12))
 	serve(b, 12, 4, start)
 	for range 3 {
-		b.Failed("i-4", Errored, "dc0", start)
+		b.RequestFailed("i-4", Errored, "dc0", start)
 	}
 	later := start.Add(3 * time.Second)
 	assert.False(t, b.Suspected("i-4", later))
-	b.Failed("i-4", Errored, "dc0", later)
+	b.RequestFailed("i-4", Errored, "dc0", later)
 	assert.True(t, b.Suspected("i-4", later))
 }
 
@@ -78,11 +78,11 @@
 	b := newBalancer(engines(12))
 	serve(b, 12, 4, start)
 	soon := start.Add(100 * time.Millisecond)
-	b.Failed("i-4", Hung, "dc0", soon)
+	b.RequestFailed("i-4", Hung, "dc0", soon)
 	assert.False(t, b.Suspected("i-4", soon), "it has just answered another")
-	b.Failed("i-5", Hung, "dc0", start.Add(time.Second))
+	b.RequestFailed("i-5", Hung, "dc0", start.Add(time.Second))
 	assert.False(t, b.Suspected("i-5", start.Add(time.Second)), "one alone")
-	b.Failed("i-5", Hung, "dc0", start.Add(1100*time.Millisecond))
+	b.RequestFailed("i-5", Hung, "dc0", start.Add(1100*time.Millisecond))
 	assert.True(t, b.Suspected("i-5", start.Add(1100*time.Millisecond)), "two, and no answer between them")
 }
 
@@ -94,7 +94,7 @@
 	for range 8 {
 		b.own("llm").failed(start)
 	}
-	b.Failed("i-4", Errored, "dc0", start)
+	b.RequestFailed("i-4", Errored, "dc0", start)
 	assert.Empty(t, b.TakePeerUpdate(start).Failures)
 	other := newBalancer(engines(12))
 	other.SetLargeFleet(true)
@@ -112,18 +112,18 @@
 	b := New(1)
 	b.SetLargeFleet(true)
 	b.SetReplicas([]directory.Replica{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, start)
-	b.Failed("a", Hung, "", start)
+	b.RequestFailed("a", Hung, "", start)
 	told := b.TakeRumors().Failures
 	require.Len(t, told, 1)
 	assert.Equal(t, Broke, told[0].Failure)
 	for range 2 {
-		b.Failed("b", Hung, "", start.Add(time.Second))
+		b.RequestFailed("b", Hung, "", start.Add(time.Second))
 	}
 	told = b.TakeRumors().Failures
 	require.NotEmpty(t, told)
 	assert.Equal(t, Hung, told[len(told)-1].Failure)
 	b.SetLargeFleet(false)
-	b.Failed("a", Hung, "", start.Add(time.Minute))
+	b.RequestFailed("a", Hung, "", start.Add(time.Minute))
 	told = b.TakeRumors().Failures
 	require.NotEmpty(t, told)
 	assert.Equal(t, Hung, told[len(told)-1].Failure)
--- a/pkg/balance/health.go
+++ b/pkg/balance/health.go
@@ -142,9 +142,9 @@
 	return c != nil && c.avoided(now)
 }
 
-// Failed notes a failure at a replica. A replica in another data centre that
+// RequestFailed notes a failure at a replica. A replica in another data centre that
 // can't be reached speaks against the whole of it: a cut strikes them all.
-func (b *Balancer) Failed(id string, kind Failure, ownDataCentre string, now time.Time) {
+func (b *Balancer) RequestFailed(id string, kind Failure, ownDataCentre string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.replicas[id]
--- a/pkg/balance/load_test.go
+++ b/pkg/balance/load_test.go
@@ -39,7 +39,7 @@
 	others := promptsOf(t, list[0], home, 2)
 	for i, b := range list[:3] {
 		for range 2 + i {
-			b.Started(home)
+			b.RequestStarted(home)
 		}
 	}
 	// The first three are one line, of which the third tells the fourth.
@@ -68,7 +68,7 @@
 	b := newBalancer(engines(12))
 	for i := range 12 {
 		for range 4 {
-			b.Started(fmt.Sprintf("i-%d", i))
+			b.RequestStarted(fmt.Sprintf("i-%d", i))
 		}
 	}
 	assert.InDelta(t, 1.7*4+2.5, pick(t, b, prompt(5), start).Bound, 1e-9)
@@ -79,10 +79,10 @@
 func TestALineTellsEachReplica(t *testing.T) {
 	list := largeFleet(2)
 	for i := range 10 {
-		list[0].Started(fmt.Sprintf("i-%d", i))
+		list[0].RequestStarted(fmt.Sprintf("i-%d", i))
 	}
 	for range 4 {
-		list[0].Started("i-3")
+		list[0].RequestStarted("i-3")
 	}
 	told := list[0].SumLine(start)
 	assert.Equal(t, []ReplicaCount{{Replica: ReplicaHash("i-3"), Running: 5}}, told.Counts)
@@ -134,10 +134,10 @@
 func TestInALargeFleetOnlyWhatOthersCannotGuessIsTold(t *testing.T) {
 	b := largeFleet(1)[0]
 	home := pick(t, b, prompt(5), start).Replica.ID
-	b.Answered(home, prompt(5), start)
+	b.RequestSucceeded(home, prompt(5), start)
 	assert.Empty(t, b.TakePeerUpdate(start).Holders, "the first home")
 	second := pick(t, b, prompt(5), start, home).Replica.ID
-	b.Answered(second, prompt(5), start)
+	b.RequestSucceeded(second, prompt(5), start)
 	assert.Equal(t, []PartHolder{{prompt(5)[1].ID, ReplicaHash(second)}}, b.TakePeerUpdate(start).Holders)
 }
 
@@ -153,7 +153,7 @@
 		b.SetLargeFleet(large)
 		for i := range 12 {
 			for range 10 {
-				b.Started(fmt.Sprintf("i-%d", i))
+				b.RequestStarted(fmt.Sprintf("i-%d", i))
 			}
 		}
 		last := 0.0
--- a/pkg/balance/near_test.go
+++ b/pkg/balance/near_test.go
@@ -26,11 +26,11 @@
 	b := newBalancer(engines(12))
 	first := pickFrom(b, "dc0", small(5))
 	assert.Equal(t, "dc0", first.Replica.DataCentre)
-	b.Answered(first.Replica.ID, small(5), start)
+	b.RequestSucceeded(first.Replica.ID, small(5), start)
 	other := pickFrom(b, "dc1", small(5))
 	assert.Equal(t, "dc1", other.Replica.DataCentre)
 	assert.Equal(t, first.Replica.Address, other.CopySource, "copied, not read again")
-	b.Answered(other.Replica.ID, small(5), start)
+	b.RequestSucceeded(other.Replica.ID, small(5), start)
 	assert.Equal(t, other.Replica.ID, pickFrom(b, "dc1", small(5)).Replica.ID)
 	assert.Equal(t, first.Replica.ID, pickFrom(b, "dc0", small(5)).Replica.ID, "each its own")
 }
@@ -38,7 +38,7 @@
 func TestALargePromptHasOneHomeInTheFleet(t *testing.T) {
 	b := newBalancer(engines(12))
 	home := pickFrom(b, "dc0", prompt(5)).Replica
-	b.Answered(home.ID, prompt(5), start)
+	b.RequestSucceeded(home.ID, prompt(5), start)
 	for _, centre := range []string{"dc0", "dc1", "dc2"} {
 		assert.Equal(t, home.ID, pickFrom(b, centre, prompt(5)).Replica.ID, centre)
 	}
@@ -48,7 +48,7 @@
 func TestAHolderInTheOwnDataCentreComesFirst(t *testing.T) {
 	b := newBalancer(engines(12))
 	for _, id := range []string{"i-0", "i-1", "i-2"} {
-		b.Answered(id, prompt(5), start)
+		b.RequestSucceeded(id, prompt(5), start)
 	}
 	for i, centre := range []string{"dc0", "dc1", "dc2"} {
 		assert.Equal(t, fmt.Sprintf("i-%d", i), pickFrom(b, centre, prompt(5)).Replica.ID)
@@ -59,7 +59,7 @@
 	b := newBalancer(engines(12))
 	for _, id := range []string{"i-0", "i-3", "i-6", "i-9"} {
 		for range 9 {
-			b.Started(id)
+			b.RequestStarted(id)
 		}
 	}
 	c := pickFrom(b, "dc0", small(5))
@@ -73,25 +73,25 @@
 	list := engines(12)
 	b := newBalancer(list)
 	home := pickFrom(b, "dc0", prompt(5)).Replica
-	b.Answered(home.ID, prompt(5), start)
+	b.RequestSucceeded(home.ID, prompt(5), start)
 	rest := slices.DeleteFunc(slices.Clone(list), func(r directory.Replica) bool { return r.ID == home.ID })
 	b.SetReplicas(rest, start)
 	c := pick(t, b, prompt(5), start)
 	assert.NotEqual(t, home.ID, c.Replica.ID, "it gets no work")
 	assert.Equal(t, home.Address, c.CopySource)
-	b.Answered(c.Replica.ID, prompt(5), start)
+	b.RequestSucceeded(c.Replica.ID, prompt(5), start)
 	next := pick(t, b, prompt(5), start, c.Replica.ID)
 	assert.Equal(t, c.Replica.Address, next.CopySource, "one that is listed comes first")
 
 	b = newBalancer(list)
-	b.Answered(home.ID, prompt(5), start)
+	b.RequestSucceeded(home.ID, prompt(5), start)
 	b.SetReplicas(rest, start)
 	late := start.Add(leftLife + time.Millisecond)
 	assert.NotEqual(t, home.Address, pick(t, b, prompt(5), late).CopySource)
 
 	b = newBalancer(list)
-	b.Answered(home.ID, prompt(5), start)
-	b.Failed(home.ID, Refused, "dc0", start)
+	b.RequestSucceeded(home.ID, prompt(5), start)
+	b.RequestFailed(home.ID, Refused, "dc0", start)
 	b.SetReplicas(rest, start)
 	assert.NotEqual(t, home.Address, pick(t, b, prompt(5), start).CopySource, "nothing listens there")
 }
--- a/pkg/balance/opens_test.go
+++ b/pkg/balance/opens_test.go
@@ -13,7 +13,7 @@
 	fail := func(ids ...string) func(*Balancer) {
 		return func(b *Balancer) {
 			for _, id := range ids {
-				b.Failed(id, Refused, "dc0", start)
+				b.RequestFailed(id, Refused, "dc0", start)
 			}
 		}
 	}
@@ -27,7 +27,7 @@
 		{"all are avoided for a second", fail("i-0", "i-1", "i-2"), time.Second, true},
 		{"the first of them counts", func(b *Balancer) {
 			fail("i-0", "i-1")(b)
-			b.Failed("i-2", Shed, "dc0", start)
+			b.RequestFailed("i-2", Shed, "dc0", start)
 		}, 150 * time.Millisecond, true},
 		{"silent data centres don't tell when they are back", func(b *Balancer) {
 			fail("i-0")(b)
@@ -62,11 +62,11 @@
 func TestADataCentreThatIsCutOffOpensWhenItIsTriedAgain(t *testing.T) {
 	b := newBalancer(engines(6))
 	for _, id := range []string{"i-1", "i-4", "i-1"} {
-		b.Failed(id, Unreachable, "dc0", start)
+		b.RequestFailed(id, Unreachable, "dc0", start)
 	}
 	for _, id := range []string{"i-0", "i-3", "i-2", "i-5"} {
 		for range 3 {
-			b.Failed(id, Refused, "dc0", start)
+			b.RequestFailed(id, Refused, "dc0", start)
 		}
 	}
 	in, known := b.AvailableIn("llm", nil, start)
@@ -76,7 +76,7 @@
 
 func TestAReplicaThatIsExcludedOpensNothing(t *testing.T) {
 	b := newBalancer(engines(2))
-	b.Failed("i-0", Refused, "dc0", start)
+	b.RequestFailed("i-0", Refused, "dc0", start)
 	in, known := b.AvailableIn("llm", []string{"i-1"}, start)
 	assert.True(t, known)
 	assert.Equal(t, time.Second, in)
--- a/pkg/balance/plain_test.go
+++ b/pkg/balance/plain_test.go
@@ -30,14 +30,14 @@
 func TestALargeFleetPassesOverWhatItAvoids(t *testing.T) {
 	b := newBalancer(engines(3))
 	b.SetLargeFleet(true)
-	b.Failed("i-0", Shed, "dc0", start)
-	b.Failed("i-1", Shed, "dc0", start)
+	b.RequestFailed("i-0", Shed, "dc0", start)
+	b.RequestFailed("i-1", Shed, "dc0", start)
 	for range 50 {
 		choice := pick(t, b, nil, start)
 		assert.Equal(t, "i-2", choice.Replica.ID)
 		assert.Equal(t, LeastLoaded, choice.Reason)
 	}
-	b.Failed("i-2", Shed, "dc0", start)
+	b.RequestFailed("i-2", Shed, "dc0", start)
 	got := make(map[string]int)
 	for range 300 {
 		choice := pick(t, b, nil, start)
--- a/pkg/balance/plainfleet_test.go
+++ b/pkg/balance/plainfleet_test.go
@@ -127,11 +127,11 @@
 	replica := f.replicas[id]
 	if replica.gone || replica.running == plainSlots && len(replica.waiting) == plainQueue {
 		f.stats.shed++
-		router.Failed(id, Shed, "", f.now)
+		router.RequestFailed(id, Shed, "", f.now)
 		f.send(r)
 		return
 	}
-	router.Started(id)
+	router.RequestStarted(id)
 	replica.waiting = append(replica.waiting, r)
 	f.work(replica)
 }
@@ -146,8 +146,8 @@
 		took := time.Duration(mean * math.Exp(plainSpread*f.random.NormFloat64()) * float64(time.Second))
 		f.after(took, func() {
 			replica.running--
-			f.routers[r.router].Finished(replica.id)
-			f.routers[r.router].Answered(replica.id, nil, f.now)
+			f.routers[r.router].RequestFinished(replica.id)
+			f.routers[r.router].RequestSucceeded(replica.id, nil, f.now)
 			if f.now.Sub(r.arrived) <= plainAim {
 				f.stats.inAim++
 			} else {
--- a/pkg/balance/reach_test.go
+++ b/pkg/balance/reach_test.go
@@ -14,7 +14,7 @@
 	}
 	unreachable := func(b *Balancer, ids ...string) {
 		for _, id := range ids {
-			b.Failed(id, Unreachable, "dc0", start)
+			b.RequestFailed(id, Unreachable, "dc0", start)
 		}
 	}
 	cases := []struct {
@@ -28,13 +28,13 @@
 			[]step{{0, false}, {1, true}, {probePause - 1, true}, {probePause, false}, {probePause + 1, true}, {time.Second, false}, {time.Second + 1, false}}},
 		{"none listens: that costs nothing to try", func(b *Balancer) {
 			for _, id := range []string{"i-0", "i-1", "i-2"} {
-				b.Failed(id, Refused, "dc0", start)
+				b.RequestFailed(id, Refused, "dc0", start)
 			}
 		}, []step{{0, false}, {1, false}}},
 		{"one has answered since", func(b *Balancer) {
 			unreachable(b, "i-0", "i-1", "i-2")
 			for _, id := range []string{"i-0", "i-1", "i-2"} {
-				b.Answered(id, nil, start.Add(1))
+				b.RequestSucceeded(id, nil, start.Add(1))
 			}
 		}, []step{{2, false}, {3, false}}},
 		{"silent data centres alone say nothing", func(b *Balancer) {
@@ -62,8 +62,8 @@
 		list[i].DataCentre = "dc1"
 	}
 	b := newBalancer(list)
-	b.Failed("i-0", Unreachable, "dc0", start)
-	b.Failed("i-1", Unreachable, "dc0", start)
+	b.RequestFailed("i-0", Unreachable, "dc0", start)
+	b.RequestFailed("i-1", Unreachable, "dc0", start)
 	assert.False(t, pick(t, b, nil, start).Unreachable, "tried")
 	assert.True(t, pick(t, b, nil, start, "i-0", "i-1").Unreachable, "the others were not")
 }
--- a/pkg/balance/rest_test.go
+++ b/pkg/balance/rest_test.go
@@ -34,7 +34,7 @@
 			for range 24 {
 				choice, found := b.Pick(Request{Service: "s", Parts: test.parts}, end.Add(test.after))
 				assert.True(t, found)
-				b.Started(choice.Replica.ID)
+				b.RequestStarted(choice.Replica.ID)
 				if choice.Replica.ID == "a" {
 					got++
 				}
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -21,8 +21,8 @@
 func TestNothingOfAnEarlierLifeIsKept(t *testing.T) {
 	now := time.Now()
 	b := twoEngines(now)
-	b.Answered("a", sharedPrompt(), now)
-	b.Failed("a", Refused, "", now)
+	b.RequestSucceeded("a", sharedPrompt(), now)
+	b.RequestFailed("a", Refused, "", now)
 	b.LoadReported("a", 50, now)
 	assert.True(t, b.Suspected("a", now))
 	var told []string
@@ -41,7 +41,7 @@
 func TestARestartReachesRoutersThatTheListDoesNotTell(t *testing.T) {
 	now := time.Now()
 	reader, other := twoEngines(now), twoEngines(now)
-	other.Answered("a", sharedPrompt(), now)
+	other.RequestSucceeded("a", sharedPrompt(), now)
 	other.TakeRumors()
 	var told []string
 	other.SetReplicaHooks(ReplicaHooks{Restarted: func(id, _ string) { told = append(told, id) }})
@@ -58,7 +58,7 @@
 	}, now.Add(100*time.Millisecond))
 	assert.Empty(t, other.Holders(now.Add(100*time.Millisecond)))
 	assert.False(t, other.Suspected("a", now.Add(100*time.Millisecond)))
-	other.Answered("a", sharedPrompt(), now.Add(time.Second))
+	other.RequestSucceeded("a", sharedPrompt(), now.Add(time.Second))
 	assert.NotEmpty(t, other.Holders(now.Add(time.Second)), "its own answer tells what it holds now")
 }
 
@@ -73,7 +73,7 @@
 func TestWhatHasASpoiltEntryIsNeitherChosenNorCopiedFrom(t *testing.T) {
 	now := time.Now()
 	b := twoEngines(now)
-	b.Answered("a", sharedPrompt(), now)
+	b.RequestSucceeded("a", sharedPrompt(), now)
 	b.SetReplicas([]directory.Replica{{ID: "a", State: directory.Unusable}, {ID: "b", Service: "s", Address: "b:1"}}, now)
 	for range 20 {
 		choice, found := b.Pick(Request{Service: "s", Parts: sharedPrompt()}, now)
--- a/pkg/balance/spread_test.go
+++ b/pkg/balance/spread_test.go
@@ -18,7 +18,7 @@
 	b.SetLargeFleet(true)
 	home = pick(t, b, prompt(5), start).Replica.ID
 	for range 20 {
-		b.Started(home)
+		b.RequestStarted(home)
 	}
 	return b, home
 }
@@ -37,7 +37,7 @@
 	b, home := full(t)
 	pick(t, b, prompt(5), start)
 	for range 20 {
-		b.Finished(home)
+		b.RequestFinished(home)
 	}
 	// Twenty at twelve engines are a bound of 4.6, which leaves 15.4 for halves of it.
 	assert.Equal(t, 7, chosen(t, b, start.Add(spreadLife-1)), "though the home is idle again")
--- a/pkg/balance/without_test.go
+++ b/pkg/balance/without_test.go
@@ -22,16 +22,16 @@
 	}
 	failAll := func(b *Balancer) {
 		for i := range 12 {
-			b.Failed(fmt.Sprintf("i-%d", i), Refused, "dc0", start)
+			b.RequestFailed(fmt.Sprintf("i-%d", i), Refused, "dc0", start)
 		}
 	}
 	cases := map[string]func(b *Balancer) any{
 		"holders": func(b *Balancer) any {
-			b.Answered("i-7", prompt(5), start)
+			b.RequestSucceeded("i-7", prompt(5), start)
 			return pickFrom(b, "dc0", prompt(5)).Replica.ID
 		},
 		"copies": func(b *Balancer) any {
-			b.Answered(home.ID, prompt(5), start)
+			b.RequestSucceeded(home.ID, prompt(5), start)
 			return pick(t, b, prompt(5), start, home.ID).CopySource
 		},
 		"near": func(b *Balancer) any {
@@ -42,13 +42,13 @@
 			return ids
 		},
 		"leavers": func(b *Balancer) any {
-			b.Answered(home.ID, prompt(5), start)
+			b.RequestSucceeded(home.ID, prompt(5), start)
 			replace(b)
 			return pickFrom(b, "dc0", prompt(5)).CopySource
 		},
 		"bound": func(b *Balancer) any {
 			for range 20 {
-				b.Started(home.ID)
+				b.RequestStarted(home.ID)
 			}
 			return pickFrom(b, "dc0", prompt(5)).Replica.ID
 		},
@@ -70,7 +70,7 @@
 		},
 		"evidence": func(b *Balancer) any {
 			serve(b, 12, 10, start)
-			b.Failed(home.ID, Broke, "dc0", start)
+			b.RequestFailed(home.ID, Broke, "dc0", start)
 			return pickFrom(b, "dc0", prompt(5)).Replica.ID
 		},
 		"rumors": func(b *Balancer) any {
@@ -79,7 +79,7 @@
 		},
 		"last_resort": func(b *Balancer) any {
 			failAll(b)
-			b.Started(home.ID)
+			b.RequestStarted(home.ID)
 			return pickFrom(b, "dc0", prompt(5)).Replica.ID
 		},
 	}
