--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -54,9 +54,9 @@
 		switch c.What {
 		case directory.Restarted:
 			// Routers that receive the list see it by the start in the replica's entry.
-			w.balancer.Restarted(c.Replica.ID, c.Replica.Born == 0, steady.Now())
+			w.balancer.ReplicaRestarted(c.Replica.ID, c.Replica.Born == 0, steady.Now())
 		case directory.Left:
-			w.balancer.Removed(c.Replica.ID)
+			w.balancer.ReplicaRemoved(c.Replica.ID)
 		}
 		if c.Centre != "" {
 			w.log.Write(centreEvent(c.What), event.F("data_centre", c.Centre))
--- a/pkg/balance/restart.go
+++ b/pkg/balance/restart.go
@@ -24,9 +24,9 @@
 // SetReplicaHooks sets who is told.
 func (b *Balancer) SetReplicaHooks(e ReplicaHooks) { b.ends.Store(&e) }
 
-// Restarted notes that a replica started again under its id. Where the list does not
+// ReplicaRestarted notes that a replica started again under its id. Where the list does not
 // say so to all routers, they are told as a rumor.
-func (b *Balancer) Restarted(id string, tell bool, now time.Time) {
+func (b *Balancer) ReplicaRestarted(id string, tell bool, now time.Time) {
 	b.mu.Lock()
 	r := b.replicas[id]
 	if r == nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Removed notes that a replica is listed no more.
-func (b *Balancer) Removed(id string) {
+// ReplicaRemoved notes that a replica is listed no more.
+func (b *Balancer) ReplicaRemoved(id string) {
 	if e := b.ends.Load(); e != nil && e.Removed != nil {
 		e.Removed(id)
 	}
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -27,7 +27,7 @@
 	assert.True(t, b.Suspected("a", now))
 	var told []string
 	b.SetReplicaHooks(ReplicaHooks{Restarted: func(id, address string) { told = append(told, id+" "+address) }})
-	b.Restarted("a", false, now)
+	b.ReplicaRestarted("a", false, now)
 	assert.Equal(t, []string{"a a:1"}, told)
 	assert.False(t, b.Suspected("a", now))
 	assert.Empty(t, b.Holders(now))
@@ -45,7 +45,7 @@
 	other.TakeRumors()
 	var told []string
 	other.SetReplicaHooks(ReplicaHooks{Restarted: func(id, _ string) { told = append(told, id) }})
-	reader.Restarted("a", true, now)
+	reader.ReplicaRestarted("a", true, now)
 	rumors := reader.TakeRumors()
 	other.MergeRumors(rumors, now)
 	assert.Empty(t, other.Holders(now))
