--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -146,9 +146,9 @@
 	e.balancer.SetReplicaHooks(balance.ReplicaHooks{
 		Restarted: func(id, address string) {
 			e.pool.Drop(address)
-			e.front.Restarted(id, steady.Now())
+			e.front.ReplicaRestarted(id, steady.Now())
 		},
-		Removed: func(id string) { e.front.Gone(id, steady.Now()) },
+		Removed: func(id string) { e.front.ReplicaRemoved(id, steady.Now()) },
 	})
 	limits := front.NewConnLimits(e.holder, e.log)
 	e.conns = conns.NewSet()
@@ -322,7 +322,7 @@
 // have ended meanwhile without a word.
 func (e *Entry) woke(slept time.Duration) {
 	e.log.Write(event.Woke, event.F("slept_ms", slept.Milliseconds()), event.F("in_flight", e.front.Active()))
-	e.front.Resumed()
+	e.front.RestartTimers()
 	e.pool.DropIdle()
 	e.watcher.ReadSoon()
 }
--- a/internal/entry/recall.go
+++ b/internal/entry/recall.go
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
 	defer cancel()
 	sent := steady.Now()
-	parts, err := e.outside.Held(ctx, r.Address, func(answer *http.Response) { e.front.NoteRest(r.ID, sent, answer) })
+	parts, err := e.outside.Held(ctx, r.Address, func(answer *http.Response) { e.front.RecordRest(r.ID, sent, answer) })
 	e.log.Write(event.EngineAsked, event.F("replica", r.ID), event.F("parts", len(parts)), event.F("error", err))
 	e.balancer.PartsReported(r.ID, parts, steady.Now())
 }
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -31,7 +31,7 @@
 	grace := e.bounds.Load().Grace
 	e.log.Write(event.Draining, event.F("in_flight", e.front.Active()), event.F("connections", e.conns.Open()))
 	e.stopping.Store(true)
-	e.front.Stopping(asked.Add(part(grace, serveOnPart)), asked.Add(part(grace, cutPart)))
+	e.front.BeginShutdown(asked.Add(part(grace, serveOnPart)), asked.Add(part(grace, cutPart)))
 	e.gossip.Leave()
 	limit, cancel := context.WithTimeout(e.killed, steady.Until(asked.Add(part(grace, cutPart))))
 	defer cancel()
@@ -71,7 +71,7 @@
 // cutCallers ends what is in flight. Callers whose answer has not begun are told.
 func (e *Entry) cutCallers(cause error) error {
 	e.log.Write(event.DrainCut, event.F("in_flight", e.front.Active()))
-	e.front.Cut()
+	e.front.CancelInFlight()
 	ctx, cancel := context.WithTimeout(context.Background(), part(e.bounds.Load().Grace, tellPart))
 	defer cancel()
 	// Who has not taken the word by then is cut without it.
--- a/internal/front/broken.go
+++ b/internal/front/broken.go
@@ -66,18 +66,18 @@
 	return recent
 }
 
-// Restarted notes that a replica started again under its id: what it broke off recently it
+// ReplicaRestarted notes that a replica started again under its id: what it broke off recently it
 // crashed under, and its earlier statements end.
-func (f *Front) Restarted(id string, now time.Time) {
+func (f *Front) ReplicaRestarted(id string, now time.Time) {
 	f.watcher.Statements().Restarted(id, now)
 	for _, b := range f.broken.take(id, now) {
 		f.noteCrash(id, b, now)
 	}
 }
 
-// Gone notes that a replica is listed no more. One that was there after it broke a
+// ReplicaRemoved notes that a replica is listed no more. One that was there after it broke a
 // request off has left, and behind a cut entries lapse too.
-func (f *Front) Gone(id string, now time.Time) {
+func (f *Front) ReplicaRemoved(id string, now time.Time) {
 	for _, b := range f.broken.take(id, now) {
 		if b.state == upstream.Rejecting {
 			f.noteCrash(id, b, now)
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -194,13 +194,13 @@
 		tell  func(f *Front, now time.Time)
 		marks int
 	}{
-		"it started again":                  {upstream.Listening, time.Second, func(f *Front, now time.Time) { f.Restarted("a", now) }, 1},
-		"another one started again":         {upstream.Listening, time.Second, func(f *Front, now time.Time) { f.Restarted("b", now) }, 0},
-		"it started again much later":       {upstream.Listening, time.Minute, func(f *Front, now time.Time) { f.Restarted("a", now) }, 0},
-		"its entry went":                    {upstream.Rejecting, 4 * time.Second, func(f *Front, now time.Time) { f.Gone("a", now) }, 1},
-		"its entry lapsed behind a cut":     {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.Gone("a", now) }, 0},
-		"it started again behind a cut":     {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.Restarted("a", now) }, 1},
-		"it lived, and left a little later": {upstream.Listening, 4 * time.Second, func(f *Front, now time.Time) { f.Gone("a", now) }, 0},
+		"it started again":                  {upstream.Listening, time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 1},
+		"another one started again":         {upstream.Listening, time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("b", now) }, 0},
+		"it started again much later":       {upstream.Listening, time.Minute, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 0},
+		"its entry went":                    {upstream.Rejecting, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 1},
+		"its entry lapsed behind a cut":     {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 0},
+		"it started again behind a cut":     {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 1},
+		"it lived, and left a little later": {upstream.Listening, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -220,7 +220,7 @@
 	r := newStillRig(t)
 	now := time.Now()
 	r.watcher.Statements().MarkServing("a", now, now)
-	r.front.Restarted("a", now)
+	r.front.ReplicaRestarted("a", now)
 	assert.Zero(t, r.watcher.Statements().Get("a"))
 }
 
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -256,7 +256,7 @@
 func TestTheLastAnswerOfAConnectionWhileStopping(t *testing.T) {
 	address, _ := replica(t, func(http.ResponseWriter, *http.Request) {})
 	r := newRig(t, address)
-	r.front.Stopping(time.Now(), time.Now().Add(time.Hour))
+	r.front.BeginShutdown(time.Now(), time.Now().Add(time.Hour))
 	response, _, err := r.send(t, "POST", "/once/", "")
 	require.NoError(t, err)
 	assert.True(t, response.Close)
--- a/internal/front/resumed.go
+++ b/internal/front/resumed.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Resumed ends the calls whose time ran out while the machine was suspended, and restarts
+// RestartTimers ends the calls whose time ran out while the machine was suspended, and restarts
 // the timers of the others.
-func (f *Front) Resumed() {
+func (f *Front) RestartTimers() {
 	f.inFlight.mu.Lock()
 	defer f.inFlight.mu.Unlock()
 	for _, call := range f.inFlight.calls {
--- a/internal/front/resumed_test.go
+++ b/internal/front/resumed_test.go
@@ -65,7 +65,7 @@
 	}()
 	<-begun
 	defer steady.Pretend(suspended)()
-	r.front.Resumed()
+	r.front.RestartTimers()
 	if finish != nil {
 		close(finish)
 	}
--- a/internal/front/statements.go
+++ b/internal/front/statements.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// NoteRest records a rest that an answer to a question of the router's own asks for. That
+// RecordRest records a rest that an answer to a question of the router's own asks for. That
 // the answer is the replica's own is less certain than that of a request that names it, so
 // an announced shutdown, which binds for as long as the replica runs, is not taken from it.
-func (f *Front) NoteRest(id string, sent time.Time, answer *http.Response) {
+func (f *Front) RecordRest(id string, sent time.Time, answer *http.Response) {
 	f.noteRest("", id, sent, answer)
 }
 
--- a/internal/front/statements_test.go
+++ b/internal/front/statements_test.go
@@ -270,7 +270,7 @@
 	rests, serves := newStatingReplica(t), newStatingReplica(t)
 	r := newRig(t, rests.address, serves.address)
 	header := http.Header{"Retry-After": {"100"}, "Leaving": {"1"}}
-	r.front.NoteRest("r0", steady.Now(), &http.Response{StatusCode: http.StatusServiceUnavailable, Header: header})
+	r.front.RecordRest("r0", steady.Now(), &http.Response{StatusCode: http.StatusServiceUnavailable, Header: header})
 	assert.Equal(t, manyRequests, r.sendMany(t, manyRequests))
 	assert.Zero(t, rests.arrivals.Load())
 	later(t, 101*time.Second)
--- a/internal/front/stop.go
+++ b/internal/front/stop.go
@@ -14,16 +14,16 @@
 	late, cut time.Time
 }
 
-// Stopping makes each further answer the last of its connection, and refuses what
+// BeginShutdown makes each further answer the last of its connection, and refuses what
 // would not end before cut, at which what is in flight will be cut. Until late, new
 // callers come who could not know of the stop.
-func (f *Front) Stopping(late, cut time.Time) {
+func (f *Front) BeginShutdown(late, cut time.Time) {
 	f.stopping.Store(&stop{late: late, cut: cut})
 }
 
-// Cut ends the requests in flight: those whose answer has not begun are told so,
+// CancelInFlight ends the requests in flight: those whose answer has not begun are told so,
 // the others are broken off.
-func (f *Front) Cut() { f.cut() }
+func (f *Front) CancelInFlight() { f.cut() }
 
 // announceClose tells a caller of a stopping router not to use the connection again.
 func (f *Front) announceClose(w http.ResponseWriter) {
--- a/internal/front/stop_test.go
+++ b/internal/front/stop_test.go
@@ -34,7 +34,7 @@
 			if test.longest > 0 {
 				r.front.longest.Took(strings.Trim(test.path, "/"), test.longest, now)
 			}
-			r.front.Stopping(now.Add(test.lateIn), now.Add(test.cutIn))
+			r.front.BeginShutdown(now.Add(test.lateIn), now.Add(test.cutIn))
 			response, _, err := r.send(t, "POST", test.path, "")
 			require.NoError(t, err)
 			assert.Equal(t, test.status, response.StatusCode)
@@ -56,7 +56,7 @@
 	r := newRig(t, address)
 	go func() {
 		<-begun
-		r.front.Cut()
+		r.front.CancelInFlight()
 	}()
 	response, _, err := r.send(t, "POST", "/once/", "")
 	require.NoError(t, err, "an answer, not a closed connection")
@@ -75,7 +75,7 @@
 	response, _, err := r.send(t, "POST", "/once/", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.StatusCode, "the connection to the replica rests")
-	r.front.Cut()
+	r.front.CancelInFlight()
 	for range requests {
 		response, _, err := r.send(t, "POST", "/once/", "")
 		require.NoError(t, err)
@@ -101,7 +101,7 @@
 			r := newRig(t, address)
 			go func() {
 				<-begun
-				r.front.Stopping(time.Now(), time.Now().Add(time.Hour))
+				r.front.BeginShutdown(time.Now(), time.Now().Add(time.Hour))
 				close(finish)
 			}()
 			response, _, err := r.send(t, "POST", "/single/", "")
