--- a/internal/entry/bounds.go
+++ b/internal/entry/bounds.go
@@ -86,10 +86,10 @@
 
 func frontLimits(b settings.Bounds) front.Limits {
 	return front.Limits{
-		KeyProof:     keyProof(b),
-		AbsenceProof: part(b.Apply, absencePart),
-		ListProof:    part(min(b.Drain, b.Evacuate), 1-wayPart),
-		RetryRatio:   b.RepeatRatio * repeatPart,
-		RetryReserve: max(b.RepeatAllowance/reserveParts, 1),
+		MaxKeyProofAge:     keyProof(b),
+		MaxAbsenceProofAge: part(b.Apply, absencePart),
+		MaxListAge:         part(min(b.Drain, b.Evacuate), 1-wayPart),
+		RetryRatio:         b.RepeatRatio * repeatPart,
+		RetryBurst:         max(b.RepeatAllowance/reserveParts, 1),
 	}
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -214,13 +214,13 @@
 
 func TestAShortTimeToEvacuateHasTheListReadMoreOften(t *testing.T) {
 	b := settings.Default().Bounds
-	period, proof := readPeriod(b), frontLimits(b).ListProof
+	period, proof := readPeriod(b), frontLimits(b).MaxListAge
 	b.Evacuate = min(b.Apply, b.Drain) / 2
 	assert.Equal(t, period/2, readPeriod(b))
-	assert.Equal(t, proof/2, frontLimits(b).ListProof)
+	assert.Equal(t, proof/2, frontLimits(b).MaxListAge)
 	b.Evacuate = time.Hour
 	assert.Equal(t, period, readPeriod(b))
-	assert.Equal(t, proof, frontLimits(b).ListProof)
+	assert.Equal(t, proof, frontLimits(b).MaxListAge)
 }
 
 // Settings that are reloaded bound a stop from then on: the platform kills by them.
--- a/internal/front/admit.go
+++ b/internal/front/admit.go
@@ -24,7 +24,7 @@
 	if refused == nil {
 		return c.checkProof(ctx, state)
 	}
-	if state.Age(steady.Now()) < c.front.limits.Load().AbsenceProof {
+	if state.Age(steady.Now()) < c.front.limits.Load().MaxAbsenceProofAge {
 		return refused
 	}
 	if !c.waitFresh(ctx, c.arrival) {
@@ -47,11 +47,11 @@
 
 // checkProof refuses a request with a key whose revocation might be unknown.
 func (c *call) checkProof(ctx context.Context, state *freshness.State) *refusal {
-	if c.organisation == nil || state.Age(steady.Now()) < c.front.limits.Load().KeyProof {
+	if c.organisation == nil || state.Age(steady.Now()) < c.front.limits.Load().MaxKeyProofAge {
 		return nil
 	}
 	// Any proof that is young enough will do; one that is asked for now is.
-	if !c.waitFresh(ctx, steady.Now().Add(-c.front.limits.Load().AbsenceProof)) {
+	if !c.waitFresh(ctx, steady.Now().Add(-c.front.limits.Load().MaxAbsenceProofAge)) {
 		return refuseStale("proof too old for keys")
 	}
 	return c.resolve(c.front.holder.Current())
--- a/internal/front/admit_test.go
+++ b/internal/front/admit_test.go
@@ -42,7 +42,7 @@
 				r.source.mu.Lock()
 				r.source.err = errors.New("down")
 				r.source.mu.Unlock()
-				r.front.SetLimits(Limits{KeyProof: time.Nanosecond, AbsenceProof: time.Nanosecond, RetryReserve: 1})
+				r.front.SetLimits(Limits{MaxKeyProofAge: time.Nanosecond, MaxAbsenceProofAge: time.Nanosecond, RetryBurst: 1})
 			}
 			response, _, err := r.send(t, "GET", c.path, "", "Authorization", c.key)
 			require.NoError(t, err)
@@ -60,7 +60,7 @@
 func TestAnOldProofIsRenewedBeforeARequestIsDenied(t *testing.T) {
 	address, _ := replica(t, func(http.ResponseWriter, *http.Request) {})
 	r := newRig(t, address)
-	r.front.SetLimits(Limits{KeyProof: time.Nanosecond, AbsenceProof: time.Minute, RetryReserve: 1})
+	r.front.SetLimits(Limits{MaxKeyProofAge: time.Nanosecond, MaxAbsenceProofAge: time.Minute, RetryBurst: 1})
 	response, _, err := r.send(t, "GET", "/once/", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, response.StatusCode)
@@ -108,7 +108,7 @@
 	r.source.mu.Lock()
 	r.source.err = errors.New("down")
 	r.source.mu.Unlock()
-	r.front.SetLimits(Limits{KeyProof: time.Nanosecond, AbsenceProof: time.Nanosecond, RetryReserve: 1})
+	r.front.SetLimits(Limits{MaxKeyProofAge: time.Nanosecond, MaxAbsenceProofAge: time.Nanosecond, RetryBurst: 1})
 	for !r.watcher.SourceFailing() {
 		_, _, err := r.send(t, "GET", "/none/", "")
 		require.NoError(t, err)
--- a/internal/front/eligible.go
+++ b/internal/front/eligible.go
@@ -22,7 +22,7 @@
 	if f.options.Without.Has(mechanism.Renew) {
 		return 0
 	}
-	return f.limits.Load().ListProof
+	return f.limits.Load().MaxListAge
 }
 
 // exclusions returns the replicas of the service that get no new requests although the
@@ -73,7 +73,7 @@
 	limits := c.front.limits.Load()
 	age := c.front.holder.Current().Age(now)
 	// By AbsenceProof a proof that was asked for at admission is young enough.
-	if c.organisation != nil && age >= max(limits.KeyProof, limits.AbsenceProof) {
+	if c.organisation != nil && age >= max(limits.MaxKeyProofAge, limits.MaxAbsenceProofAge) {
 		return fmt.Errorf("%w: configuration proven %v ago, too long for keys", errNotAllowed, age)
 	}
 	return nil
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -71,18 +71,18 @@
 
 // Limits can change while the front runs.
 type Limits struct {
-	// KeyProof is the greatest age of the proof at which a key is believed.
-	KeyProof time.Duration
-	// AbsenceProof is the greatest age of the proof at which an unknown route or
+	// MaxKeyProofAge is the greatest age of the proof at which a key is believed.
+	MaxKeyProofAge time.Duration
+	// MaxAbsenceProofAge is the greatest age of the proof at which an unknown route or
 	// key is said to be unknown.
-	AbsenceProof time.Duration
-	// ListProof is the greatest age of the list of replicas by which a request is
+	MaxAbsenceProofAge time.Duration
+	// MaxListAge is the greatest age of the list of replicas by which a request is
 	// written to a replica. Zero: none.
-	ListProof time.Duration
+	MaxListAge time.Duration
 	// RetryRatio is how many retries each request earns, RetryReserve how many
 	// there are in store.
-	RetryRatio   float64
-	RetryReserve float64
+	RetryRatio float64
+	RetryBurst float64
 }
 
 // Front is an http.Handler.
@@ -131,7 +131,7 @@
 		log:      log,
 		metrics:  m,
 		started:  steady.Now(),
-		retries:  admission.NewRetries(o.Limits.RetryRatio, o.Limits.RetryReserve),
+		retries:  admission.NewRetries(o.Limits.RetryRatio, o.Limits.RetryBurst),
 		longest:  admission.NewLongest(),
 	}
 	front.limits.Store(&o.Limits)
@@ -142,7 +142,7 @@
 // SetLimits changes the limits.
 func (f *Front) SetLimits(l Limits) {
 	f.limits.Store(&l)
-	f.retries.Set(l.RetryRatio, l.RetryReserve)
+	f.retries.Set(l.RetryRatio, l.RetryBurst)
 }
 
 // Active returns the number of requests that are served now.
--- a/internal/front/oldlist_test.go
+++ b/internal/front/oldlist_test.go
@@ -110,7 +110,7 @@
 	r := newAgedRig(t, testListAge, address)
 	r.onceConnected(func() {
 		limits := *r.front.limits.Load()
-		limits.KeyProof, limits.AbsenceProof = testListProof, testListProof
+		limits.MaxKeyProofAge, limits.MaxAbsenceProofAge = testListProof, testListProof
 		r.front.SetLimits(limits)
 		r.source.reportFailure(assert.AnError)
 	})
--- a/internal/front/resumed_test.go
+++ b/internal/front/resumed_test.go
@@ -18,7 +18,7 @@
 	address, arrivals := replica(t, func(w http.ResponseWriter, _ *http.Request) {})
 	r := newRig(t, address)
 	limits := *r.front.limits.Load()
-	limits.KeyProof, limits.AbsenceProof, limits.ListProof = 4*time.Second, 1600*time.Millisecond, 1600*time.Millisecond
+	limits.MaxKeyProofAge, limits.MaxAbsenceProofAge, limits.MaxListAge = 4*time.Second, 1600*time.Millisecond, 1600*time.Millisecond
 	r.front.SetLimits(limits)
 	r.source.fallSilent()
 	// A source that answers nobody is asked again when the router's turn has come.
--- a/internal/front/rig_test.go
+++ b/internal/front/rig_test.go
@@ -147,7 +147,7 @@
 // setListProof sets the greatest age of the list.
 func (r *rig) setListProof(age time.Duration) {
 	limits := *r.front.limits.Load()
-	limits.ListProof = age
+	limits.MaxListAge = age
 	r.front.SetLimits(limits)
 }
 
@@ -168,7 +168,7 @@
 	balancer := balance.New(1)
 	f := watch.New(source, watch.Options{Period: time.Hour, Timeout: time.Second}, directory.New(time.Hour, time.Hour), holder, balancer, log)
 	pool := upstream.New(upstream.Options{IDHeader: "Try", DialTimeout: time.Second, SilenceTimeout: 10 * time.Second, IdleTime: time.Minute})
-	limits := Limits{KeyProof: time.Hour, AbsenceProof: time.Hour, RetryRatio: 1, RetryReserve: 100}
+	limits := Limits{MaxKeyProofAge: time.Hour, MaxAbsenceProofAge: time.Hour, RetryRatio: 1, RetryBurst: 100}
 	front := New(Options{Dialect: testDialect(), DataCentre: "here", Limits: limits}, f, holder, balancer, pool, NewMetrics(), log)
 	r := &rig{front: front, source: source, watcher: f, holder: holder, server: httptest.NewServer(front), log: log}
 	t.Cleanup(r.server.Close)
--- a/internal/front/wait.go
+++ b/internal/front/wait.go
@@ -82,7 +82,7 @@
 // Other routers usually read it for this one; a request must not pay for one being late.
 func (c *call) refreshList(ctx context.Context) {
 	f := c.front
-	limit := time.Duration(float64(f.limits.Load().ListProof) * refreshPart)
+	limit := time.Duration(float64(f.limits.Load().MaxListAge) * refreshPart)
 	now := steady.Now()
 	if limit == 0 || f.options.Without.Has(mechanism.Renew) || f.watcher.ListAge(now) < limit {
 		return
