--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -100,7 +100,7 @@
 		d := DecodeDigest(&m)
 		assert.LessOrEqual(t, len(d.Loads), len(m.Group))
 		assert.LessOrEqual(t, len(d.Engines), len(m.Engine))
-		fleet.NewBoard(1).Take(d, testTime)
+		fleet.NewDigestTable(1).Put(d, testTime)
 	})
 }
 
--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -35,7 +35,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := steady.Now()
-	r.board.Forget(now)
+	r.board.DropStale(now)
 	r.view.Age(now)
 	for name, seen := range r.leavingSeen {
 		if now.Sub(seen) > fleet.StaleAfter {
@@ -109,7 +109,7 @@
 	if len(partners.Relayed) == 0 {
 		return messages
 	}
-	relayed := peer.EncodeDigest(r.board.Relay(own, line))
+	relayed := peer.EncodeDigest(r.board.Aggregate(own, line))
 	for _, hash := range partners.Relayed {
 		messages = append(messages, message{to: peers[hash], digest: relayed})
 	}
@@ -197,7 +197,7 @@
 		r.takeCounts(d, now)
 		return &peerpb.DigestReply{Version: r.version()}
 	}
-	r.board.Take(d, now)
+	r.board.Put(d, now)
 	r.takeLeaving(d.Leaving, now)
 	if d.Stopping {
 		r.refreshView()
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -150,11 +150,11 @@
 
 // refresh takes the loads of the groups from the board, and this router's own
 // groups exactly.
-func (p *pool) refresh(board *fleet.Board) {
+func (p *pool) refresh(board *fleet.DigestTable) {
 	for g := range p.loads {
 		p.loads[g] = -1
 	}
-	board.GroupLoads(p.index, p.loads)
+	board.AddGroupLoads(p.index, p.loads)
 	for id, owned := range p.owned {
 		if g := p.layout.Group(id); g != placement.None {
 			p.loads[g] = max(p.loads[g], 0) + owned.Load()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -70,7 +70,7 @@
 	mu      sync.Mutex
 	rnd     *rand.Rand
 	view    *fleet.View
-	board   *fleet.Board
+	board   *fleet.DigestTable
 	limits  *admission.Limits
 	retries *admission.Retries
 	traffic *placement.Traffic
@@ -123,7 +123,7 @@
 		sequence:    rand.Uint32(),
 	}
 	r.selfID = fleet.Short(r.selfHash)
-	r.board = fleet.NewBoard(r.selfID)
+	r.board = fleet.NewDigestTable(r.selfID)
 	r.claims = once.NewClaims(r.platform, steady.Now)
 	r.peers = peer.NewClient(r.meter)
 	r.config = newConfig(r)
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -89,7 +89,7 @@
 		Draining:      r.draining.Load(),
 		Active:        r.active.Load(),
 		ConfigVersion: r.version(),
-		Peers:         r.board.Senders(),
+		Peers:         r.board.Len(),
 		Control:       ControlState{SentBytes: sent, ReceivedBytes: received, Calls: r.meter.Calls()},
 		PlatformCalls: r.platform.Calls(),
 	}
--- a/pkg/fleet/digest.go
+++ b/pkg/fleet/digest.go
@@ -61,14 +61,14 @@
 // StaleAfter is the age at which a digest counts no more.
 const StaleAfter = 15 * time.Second
 
-// Board holds the newest digest of every sender. It is not safe for concurrent
+// DigestTable holds the newest digest of every sender. It is not safe for concurrent
 // use.
 //
 // Figures of different digests add up: two routers that both believe that they
 // own a group each tell the part that they dispatched. Where views of the grid
 // differ a router may come by two ways and count twice for a moment, which costs
 // exactness only; carrying the routers' names would cost bytes (docs/design/digests.md).
-type Board struct {
+type DigestTable struct {
 	self     ID
 	digests  map[source]entry
 	stopping map[ID]time.Time
@@ -85,14 +85,14 @@
 	at time.Time
 }
 
-// NewBoard returns the empty board of router self.
-func NewBoard(self ID) *Board {
-	return &Board{self: self, digests: make(map[source]entry), stopping: make(map[ID]time.Time)}
+// NewDigestTable returns the empty board of router self.
+func NewDigestTable(self ID) *DigestTable {
+	return &DigestTable{self: self, digests: make(map[source]entry), stopping: make(map[ID]time.Time)}
 }
 
-// Take enters a digest that arrived at now. One that was overtaken by a newer
+// Put enters a digest that arrived at now. One that was overtaken by a newer
 // one is left out.
-func (b *Board) Take(d Digest, now time.Time) {
+func (b *DigestTable) Put(d Digest, now time.Time) {
 	from := source{d.Sender, d.Relayed}
 	held, known := b.digests[from]
 	restarted := now.Sub(held.at) > StaleAfter
@@ -105,8 +105,8 @@
 	}
 }
 
-// Forget drops what is older than StaleAfter.
-func (b *Board) Forget(now time.Time) {
+// DropStale drops what is older than StaleAfter.
+func (b *DigestTable) DropStale(now time.Time) {
 	for from, e := range b.digests {
 		if now.Sub(e.at) > StaleAfter {
 			delete(b.digests, from)
@@ -120,17 +120,17 @@
 }
 
 // Stopping tells whether a router said that it stops.
-func (b *Board) Stopping(router ID) bool {
+func (b *DigestTable) Stopping(router ID) bool {
 	_, stopping := b.stopping[router]
 	return stopping
 }
 
-// Senders returns the number of digests held.
-func (b *Board) Senders() int { return len(b.digests) }
+// Len returns the number of digests held.
+func (b *DigestTable) Len() int { return len(b.digests) }
 
-// GroupLoads adds each group's load into loads, whose index says where a group
+// AddGroupLoads adds each group's load into loads, whose index says where a group
 // stands. A negative figure is unknown; unknown groups stay as they are.
-func (b *Board) GroupLoads(index map[ID]int, loads []float64) {
+func (b *DigestTable) AddGroupLoads(index map[ID]int, loads []float64) {
 	for _, e := range b.digests {
 		for _, g := range e.Loads {
 			if at, known := index[g.Group]; known {
@@ -142,7 +142,7 @@
 
 // OthersDemand returns what the organisation asks of the other routers, in
 // work tokens a second, or -1 when no digest is fresh.
-func (b *Board) OthersDemand(organisation ID) float64 {
+func (b *DigestTable) OthersDemand(organisation ID) float64 {
 	if len(b.digests) == 0 {
 		return -1
 	}
@@ -157,9 +157,9 @@
 	return sum
 }
 
-// Relay makes the digest that a router sends to its column: the sum of its own
+// Aggregate makes the digest that a router sends to its column: the sum of its own
 // and those that came directly from its line.
-func (b *Board) Relay(own Digest, line []ID) Digest {
+func (b *DigestTable) Aggregate(own Digest, line []ID) Digest {
 	d := own
 	d.Relayed = true
 	d.Engines = nil
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -118,40 +118,40 @@
 }
 
 func TestBoard(t *testing.T) {
-	b := NewBoard(9)
+	b := NewDigestTable(9)
 	assert.Equal(t, -1.0, b.OthersDemand(5))
-	b.Take(digest(1, 2, 4, 10), start)
-	b.Take(digest(1, 1, 7, 70), start) // overtaken
-	b.Take(digest(9, 1, 7, 70), start) // its own, come back
-	b.Take(digest(2, 1, 3, 20), start)
+	b.Put(digest(1, 2, 4, 10), start)
+	b.Put(digest(1, 1, 7, 70), start) // overtaken
+	b.Put(digest(9, 1, 7, 70), start) // its own, come back
+	b.Put(digest(2, 1, 3, 20), start)
 	loads := []float64{-1, -1, -1}
-	b.GroupLoads(map[ID]int{1: 0, 2: 1, 3: 2}, loads)
+	b.AddGroupLoads(map[ID]int{1: 0, 2: 1, 3: 2}, loads)
 	assert.Equal(t, []float64{4, 3, -1}, loads)
 	assert.Equal(t, 30.0, b.OthersDemand(5))
-	b.Forget(start.Add(StaleAfter + time.Second))
-	assert.Zero(t, b.Senders())
+	b.DropStale(start.Add(StaleAfter + time.Second))
+	assert.Zero(t, b.Len())
 	assert.Equal(t, -1.0, b.OthersDemand(5), "an hour old digest counts no more")
 }
 
 func TestTwoOwnersOfAGroupAddUp(t *testing.T) {
-	b := NewBoard(9)
+	b := NewDigestTable(9)
 	first, second := digest(1, 1, 4, 0), digest(2, 1, 3, 0)
 	second.Loads[0].Group = 1
-	b.Take(first, start)
-	b.Take(second, start)
+	b.Put(first, start)
+	b.Put(second, start)
 	loads := []float64{-1}
-	b.GroupLoads(map[ID]int{1: 0}, loads)
+	b.AddGroupLoads(map[ID]int{1: 0}, loads)
 	assert.Equal(t, []float64{7}, loads)
 }
 
 func TestRelaySumsTheLine(t *testing.T) {
-	b := NewBoard(9)
+	b := NewDigestTable(9)
 	leaving := digest(1, 1, 4, 10)
 	leaving.Leaving = []ID{66}
-	b.Take(leaving, start)
-	b.Take(digest(2, 1, 3, 20), start)
-	b.Take(digest(3, 1, 3, 40), start) // not of the line
-	relay := b.Relay(digest(9, 1, 1, 5), []ID{1, 2})
+	b.Put(leaving, start)
+	b.Put(digest(2, 1, 3, 20), start)
+	b.Put(digest(3, 1, 3, 40), start) // not of the line
+	relay := b.Aggregate(digest(9, 1, 1, 5), []ID{1, 2})
 	assert.True(t, relay.Relayed)
 	assert.Equal(t, []GroupLoad{{1, 4}, {2, 3}, {9, 1}}, relay.Loads)
 	assert.Equal(t, []Demand{{5, 35}}, relay.Demands)
@@ -159,21 +159,21 @@
 }
 
 func TestRestartedRouterIsHeardAgain(t *testing.T) {
-	b := NewBoard(9)
-	b.Take(digest(1, 1000, 4, 0), start)
-	b.Take(digest(1, 1, 5, 0), start.Add(StaleAfter+time.Second))
+	b := NewDigestTable(9)
+	b.Put(digest(1, 1000, 4, 0), start)
+	b.Put(digest(1, 1, 5, 0), start.Add(StaleAfter+time.Second))
 	loads := []float64{-1}
-	b.GroupLoads(map[ID]int{1: 0}, loads)
+	b.AddGroupLoads(map[ID]int{1: 0}, loads)
 	assert.Equal(t, []float64{5}, loads)
 }
 
 func TestStoppingRouter(t *testing.T) {
-	b := NewBoard(9)
+	b := NewDigestTable(9)
 	d := digest(1, 1, 0, 0)
 	d.Stopping = true
-	b.Take(d, start)
+	b.Put(d, start)
 	assert.True(t, b.Stopping(1))
-	b.Forget(start.Add(StaleAfter + time.Second))
+	b.DropStale(start.Add(StaleAfter + time.Second))
 	assert.False(t, b.Stopping(1))
 }
 
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -173,11 +173,11 @@
 		messages += sent
 	}
 	period := fleet.Period(time.Second, n)
-	board := fleet.NewBoard(1)
+	board := fleet.NewDigestTable(1)
 	d := own(0)
 	take := perCall(func() {
 		d.Sequence++
-		board.Take(d, time.Unix(0, 0))
+		board.Put(d, time.Unix(0, 0))
 	})
 	row(n, told, period.Seconds(), float64(messages)/float64(n), 2*float64(total)/float64(n)/period.Seconds(), take)
 }
@@ -189,14 +189,14 @@
 		index[hash] = at
 	}
 	p := fleet.PartnersOf(routers[i], routers)
-	board := fleet.NewBoard(fleet.Short(routers[i]))
+	board := fleet.NewDigestTable(fleet.Short(routers[i]))
 	var line []fleet.ID
 	for _, other := range p.Direct {
-		board.Take(own(index[other]), time.Unix(0, 0))
+		board.Put(own(index[other]), time.Unix(0, 0))
 		line = append(line, fleet.Short(other))
 	}
 	bytes = len(p.Direct) * (proto.Size(peer.EncodeDigest(own(i))) + peer.CallOverhead)
-	bytes += len(p.Relayed) * (proto.Size(peer.EncodeDigest(board.Relay(own(i), line))) + peer.CallOverhead)
+	bytes += len(p.Relayed) * (proto.Size(peer.EncodeDigest(board.Aggregate(own(i), line))) + peer.CallOverhead)
 	return bytes, len(p.Direct) + len(p.Relayed)
 }
 
--- a/test/measure/control.go
+++ b/test/measure/control.go
@@ -21,15 +21,15 @@
 func (c *croftyard) roundBytes(r *simRouter) int {
 	own := c.digest(r)
 	partners := fleet.PartnersOf(c.hashes[r.index], c.hashes)
-	board := fleet.NewBoard(own.Sender)
+	board := fleet.NewDigestTable(own.Sender)
 	var line []fleet.ID
 	for _, hash := range partners.Direct {
-		board.Take(c.digest(c.byHash[hash]), c.w.clock())
+		board.Put(c.digest(c.byHash[hash]), c.w.clock())
 		line = append(line, fleet.Short(hash))
 	}
 	reply := peer.CallOverhead
 	bytes := len(partners.Direct) * (proto.Size(peer.EncodeDigest(own)) + reply)
-	return bytes + len(partners.Relayed)*(proto.Size(peer.EncodeDigest(board.Relay(own, line)))+reply)
+	return bytes + len(partners.Relayed)*(proto.Size(peer.EncodeDigest(board.Aggregate(own, line)))+reply)
 }
 
 func (c *croftyard) digest(r *simRouter) fleet.Digest {
