--- a/internal/router/list.go
+++ b/internal/router/list.go
@@ -115,16 +115,16 @@
 	return false
 }
 
-func (l *list) mark() fleet.Mark {
+func (l *list) mark() fleet.Fingerprint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.history.Mark()
+	return l.history.Fingerprint()
 }
 
 // errMark: the delta did not lead to the version it names; the whole is needed.
 var errMark = errors.New("router: list does not match its mark")
 
-func (l *list) ask(ctx context.Context, address string, mark fleet.Mark) error {
+func (l *list) ask(ctx context.Context, address string, mark fleet.Fingerprint) error {
 	reply, err := l.router.peers.List(ctx, address, &peerpb.ListRequest{Mark: uint64(mark)})
 	if err != nil {
 		return err
@@ -142,7 +142,7 @@
 		base = nil
 	}
 	next := delta.Apply(base)
-	if fleet.MarkOf(next) != fleet.Mark(reply.Mark) {
+	if fleet.FingerprintOf(next) != fleet.Fingerprint(reply.Mark) {
 		l.mu.Unlock()
 		return errMark
 	}
@@ -170,7 +170,7 @@
 // take enters a list. The first one counts even if it is empty.
 func (l *list) take(instances []fleet.Instance) {
 	l.mu.Lock()
-	changed := l.history.Take(instances)
+	changed := l.history.Update(instances)
 	l.mu.Unlock()
 	if changed || !l.router.listed.Load() {
 		l.router.takeList(instances)
@@ -181,11 +181,11 @@
 func (l *list) answer(request *peerpb.ListRequest) (*peerpb.ListReply, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	reply := &peerpb.ListReply{Mark: uint64(l.history.Mark())}
+	reply := &peerpb.ListReply{Mark: uint64(l.history.Fingerprint())}
 	if request.Mark == reply.Mark {
 		return reply, nil
 	}
-	delta, known := l.history.Since(fleet.Mark(request.Mark))
+	delta, known := l.history.DeltaSince(fleet.Fingerprint(request.Mark))
 	if !known || request.Mark == 0 {
 		delta = fleet.ListDelta{Put: l.history.List()}
 		reply.Full = true
--- a/pkg/fleet/list.go
+++ b/pkg/fleet/list.go
@@ -7,17 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Mark names a version of the list by its content: the sum of its rows' hashes.
+// Fingerprint names a version of the list by its content: the sum of its rows' hashes.
 // Two routers with the same rows have the same mark; the empty list has 0.
-type Mark uint64
+type Fingerprint uint64
 
-// MarkOf returns the mark of a list, whatever its order.
-func MarkOf(list []Instance) Mark {
+// FingerprintOf returns the mark of a list, whatever its order.
+func FingerprintOf(list []Instance) Fingerprint {
 	sum := uint64(0)
 	for _, i := range list {
 		sum += xxhash.Sum64String(fmt.Sprintf("%+v", i))
 	}
-	return Mark(sum)
+	return Fingerprint(sum)
 }
 
 // ListDelta leads from one version of the list to another.
@@ -84,24 +84,24 @@
 //	a change is short.
 type ListHistory struct {
 	list  []Instance
-	mark  Mark
+	mark  Fingerprint
 	steps []listStep
 }
 
 type listStep struct {
-	from  Mark
+	from  Fingerprint
 	delta ListDelta
 }
 
 // List returns the newest list, not to be changed.
 func (h *ListHistory) List() []Instance { return h.list }
 
-// Mark returns the newest list's mark.
-func (h *ListHistory) Mark() Mark { return h.mark }
+// Fingerprint returns the newest list's mark.
+func (h *ListHistory) Fingerprint() Fingerprint { return h.mark }
 
-// Take enters a newer list and tells whether it differs from the last.
-func (h *ListHistory) Take(list []Instance) bool {
-	mark := MarkOf(list)
+// Update enters a newer list and tells whether it differs from the last.
+func (h *ListHistory) Update(list []Instance) bool {
+	mark := FingerprintOf(list)
 	if mark == h.mark {
 		return false
 	}
@@ -114,9 +114,9 @@
 	return true
 }
 
-// Since returns what leads from an earlier version to the newest. known is
+// DeltaSince returns what leads from an earlier version to the newest. known is
 // false when that version is not kept; the whole list is then needed.
-func (h *ListHistory) Since(mark Mark) (d ListDelta, known bool) {
+func (h *ListHistory) DeltaSince(mark Fingerprint) (d ListDelta, known bool) {
 	if mark == h.mark {
 		return ListDelta{}, true
 	}
--- a/pkg/fleet/list_test.go
+++ b/pkg/fleet/list_test.go
@@ -19,24 +19,24 @@
 	after := []Instance{{Name: "b", Adapters: []string{"x", "y"}}, {Name: "c"}}
 	d := DeltaOf(before, after)
 	assert.Equal(t, ListDelta{Put: after, Removed: []string{"a"}}, d)
-	assert.Equal(t, MarkOf(after), MarkOf(d.Apply(before)))
-	assert.Equal(t, MarkOf(before), MarkOf([]Instance{before[1], before[0]}), "the order does not matter")
-	assert.NotEqual(t, MarkOf(before), MarkOf(after))
+	assert.Equal(t, FingerprintOf(after), FingerprintOf(d.Apply(before)))
+	assert.Equal(t, FingerprintOf(before), FingerprintOf([]Instance{before[1], before[0]}), "the order does not matter")
+	assert.NotEqual(t, FingerprintOf(before), FingerprintOf(after))
 }
 
 func TestHistoryForgets(t *testing.T) {
 	var h ListHistory
 	first := []Instance{{Name: "0"}}
-	h.Take(first)
+	h.Update(first)
 	for i := range historySteps {
-		require.True(t, h.Take([]Instance{{Name: fmt.Sprint(i + 1)}}))
+		require.True(t, h.Update([]Instance{{Name: fmt.Sprint(i + 1)}}))
 	}
-	_, known := h.Since(MarkOf(first))
+	_, known := h.DeltaSince(FingerprintOf(first))
 	assert.True(t, known)
-	h.Take(nil)
-	_, known = h.Since(MarkOf(first))
+	h.Update(nil)
+	_, known = h.DeltaSince(FingerprintOf(first))
 	assert.False(t, known)
-	assert.False(t, h.Take(nil), "nothing new")
+	assert.False(t, h.Update(nil), "nothing new")
 }
 
 // TestHistoryLeadsFromAnyVersionToTheNewest changes a list at random.
@@ -51,13 +51,13 @@
 			if rapid.Bool().Draw(t, "put") {
 				list = append(list, Instance{Name: name, Address: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "address"))})
 			}
-			h.Take(list)
+			h.Update(list)
 			versions = append(versions, list)
 		}
 		for _, version := range versions {
-			d, known := h.Since(MarkOf(version))
+			d, known := h.DeltaSince(FingerprintOf(version))
 			require.True(t, known)
-			require.Equal(t, h.Mark(), MarkOf(d.Apply(version)))
+			require.Equal(t, h.Fingerprint(), FingerprintOf(d.Apply(version)))
 		}
 	})
 }
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -224,7 +224,7 @@
 		delta := fleet.DeltaOf(list, changed)
 		take := perCall(func() {
 			var h fleet.ListHistory
-			h.Take(delta.Apply(list))
+			h.Update(delta.Apply(list))
 		})
 		row(n, bytes, perCall(func() { v.Replace(list, now) })/1000, size, len(jsonOf(delta)), take/1e6)
 	}
