--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -36,7 +36,7 @@
 	defer r.mu.Unlock()
 	now := steady.Now()
 	r.board.DropStale(now)
-	r.view.Age(now)
+	r.view.DropExpired(now)
 	for name, seen := range r.leavingSeen {
 		if now.Sub(seen) > fleet.StaleAfter {
 			delete(r.leavingSeen, name)
@@ -230,9 +230,9 @@
 	for _, id := range leaving {
 		told[id] = true
 	}
-	r.view.Instances(now, func(i fleet.Instance, health fleet.Health) {
+	r.view.ForEach(now, func(i fleet.Instance, health fleet.Health) {
 		if told[shortName(i.Name)] && health != fleet.Departing {
-			r.view.Leaving(i.Name, now)
+			r.view.MarkLeaving(i.Name, now)
 		}
 	})
 	r.closeEngines(now)
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -16,7 +16,7 @@
 func (r *Router) takeList(list []fleet.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.view.Replace(list, steady.Now())
+	r.view.SetList(list, steady.Now())
 	r.routers = r.routers[:0]
 	for _, i := range list {
 		if i.Role == fleet.RoleRouter && i.Name != r.settings.Name && i.State == fleet.StateLive {
@@ -81,7 +81,7 @@
 
 func (r *Router) enginesByPool(now time.Time) map[poolName][]fleet.Instance {
 	engines := make(map[poolName][]fleet.Instance)
-	r.view.Instances(now, func(i fleet.Instance, _ fleet.Health) {
+	r.view.ForEach(now, func(i fleet.Instance, _ fleet.Health) {
 		if i.Role != fleet.RoleEngine {
 			return
 		}
@@ -184,7 +184,7 @@
 // others, and lets waiting requests at them.
 func (r *Router) closeEngines(now time.Time) {
 	listed := make(map[uint64]bool)
-	r.view.Instances(now, func(i fleet.Instance, health fleet.Health) {
+	r.view.ForEach(now, func(i fleet.Instance, health fleet.Health) {
 		if i.Role != fleet.RoleEngine {
 			return
 		}
@@ -192,7 +192,7 @@
 		listed[e.Hash] = true
 		e.Closed = health != fleet.Live
 		e.Adapters = hashesOf(i.Adapters, e.Adapters[:0])
-		e.Ramp = r.view.Ramp(i.Name, now)
+		e.Ramp = r.view.RampFactor(i.Name, now)
 	})
 	for hash, e := range r.engines {
 		if !listed[hash] {
@@ -243,7 +243,7 @@
 		return
 	}
 	r.log.Write(what, event.F("name", name), event.F("error", err))
-	r.view.Failed(name, now)
+	r.view.MarkFailed(name, now)
 	r.refreshView()
 }
 
@@ -254,7 +254,7 @@
 	now := steady.Now()
 	if r.view.Health(name, now) == fleet.Suspect {
 		r.log.Write(what, event.F("name", name))
-		r.view.Reached(name, now)
+		r.view.MarkReachable(name, now)
 		r.refreshView()
 	}
 }
@@ -268,7 +268,7 @@
 		r.log.Write(event.TargetLeaving, event.F("name", name))
 	}
 	r.leavingSeen[name] = now
-	r.view.Leaving(name, now)
+	r.view.MarkLeaving(name, now)
 	r.closeEngines(now)
 }
 
--- a/internal/router/plain.go
+++ b/internal/router/plain.go
@@ -110,7 +110,7 @@
 	var best fleet.Instance
 	found := false
 	seen := 0
-	r.view.Instances(steady.Now(), func(i fleet.Instance, health fleet.Health) {
+	r.view.ForEach(steady.Now(), func(i fleet.Instance, health fleet.Health) {
 		if i.Role != fleet.RoleService || i.Service != service || health != fleet.Live || tried[i.Name] {
 			return
 		}
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -99,7 +99,7 @@
 	slices.SortFunc(s.Pools, func(a, b PoolState) int {
 		return cmp.Or(cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Model, b.Model))
 	})
-	r.view.Instances(now, func(i fleet.Instance, health fleet.Health) {
+	r.view.ForEach(now, func(i fleet.Instance, health fleet.Health) {
 		if len(s.Instances) < maxInstances {
 			s.Instances = append(s.Instances, InstanceState{Name: i.Name, Role: string(i.Role), Address: i.Address, Health: health.String()})
 		}
--- a/internal/router/statements.go
+++ b/internal/router/statements.go
@@ -19,7 +19,7 @@
 	if r.view.Health(name, now) != fleet.Resting {
 		r.log.Write(event.ReplicaResting, event.F("replica", name), event.F("rest_ms", rest.Milliseconds()))
 	}
-	r.view.Resting(name, now.Add(rest))
+	r.view.MarkResting(name, now.Add(rest))
 	r.closeEngines(now)
 }
 
--- a/pkg/fleet/example_test.go
+++ b/pkg/fleet/example_test.go
@@ -11,8 +11,8 @@
 func Example() {
 	now := time.Now()
 	view := fleet.NewView()
-	view.Replace([]fleet.Instance{{Name: "engine-a", State: fleet.StateLive}}, now)
-	view.Failed("engine-a", now)
+	view.SetList([]fleet.Instance{{Name: "engine-a", State: fleet.StateLive}}, now)
+	view.MarkFailed("engine-a", now)
 	fmt.Println(view.Health("engine-a", now), view.Health("engine-a", now.Add(2*time.Second)))
 	// Output:
 	// suspect live
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 
 func newTestView() *View {
 	v := NewView()
-	v.Replace([]Instance{{Name: "e1", State: StateLive}, {Name: "e2", State: StateLeaving}}, start)
+	v.SetList([]Instance{{Name: "e1", State: StateLive}, {Name: "e2", State: StateLeaving}}, start)
 	return v
 }
 
@@ -22,7 +22,7 @@
 	assert.Equal(t, Live, v.Health("e1", start))
 	assert.Equal(t, Departing, v.Health("e2", start))
 	assert.Equal(t, Unknown, v.Health("e3", start))
-	v.Leaving("e1", start)
+	v.MarkLeaving("e1", start)
 	assert.Equal(t, Departing, v.Health("e1", start), "seen leaving while the list still says live")
 	assert.Equal(t, Live, v.Health("e1", start.Add(leavingFor)), "the correction ages out")
 }
@@ -32,7 +32,7 @@
 	now := start
 	var aside []time.Duration
 	for range 8 {
-		v.Failed("e1", now)
+		v.MarkFailed("e1", now)
 		from := now
 		for v.Health("e1", now) == Suspect {
 			now = now.Add(100 * time.Millisecond)
@@ -43,26 +43,26 @@
 	assert.Equal(t, 2*time.Second, aside[1])
 	assert.Equal(t, maxSuspect, aside[7])
 	later := now.Add(forgiveAfter + time.Second)
-	v.Failed("e1", later)
+	v.MarkFailed("e1", later)
 	assert.Equal(t, Live, v.Health("e1", later.Add(time.Second)), "forgiven after a quiet time")
 }
 
 func TestReturningTargetIsRamped(t *testing.T) {
 	v := newTestView()
-	assert.Equal(t, 1.0, v.Ramp("e1", start))
-	v.Failed("e1", start)
-	v.Reached("e1", start.Add(500*time.Millisecond))
+	assert.Equal(t, 1.0, v.RampFactor("e1", start))
+	v.MarkFailed("e1", start)
+	v.MarkReachable("e1", start.Add(500*time.Millisecond))
 	assert.Equal(t, Live, v.Health("e1", start.Add(500*time.Millisecond)))
-	assert.InDelta(t, 0.5, v.Ramp("e1", start.Add(5500*time.Millisecond)), 0.01)
-	assert.Equal(t, 1.0, v.Ramp("e1", start.Add(time.Minute)))
+	assert.InDelta(t, 0.5, v.RampFactor("e1", start.Add(5500*time.Millisecond)), 0.01)
+	assert.Equal(t, 1.0, v.RampFactor("e1", start.Add(time.Minute)))
 }
 
 func TestCorrectionsOutliveTheList(t *testing.T) {
 	v := newTestView()
-	v.Failed("e1", start)
-	v.Replace([]Instance{{Name: "e1", State: StateLive}}, start.Add(100*time.Millisecond))
+	v.MarkFailed("e1", start)
+	v.SetList([]Instance{{Name: "e1", State: StateLive}}, start.Add(100*time.Millisecond))
 	assert.Equal(t, Suspect, v.Health("e1", start.Add(200*time.Millisecond)))
-	v.Replace(nil, start.Add(time.Hour))
+	v.SetList(nil, start.Add(time.Hour))
 	assert.Empty(t, v.notes)
 }
 
@@ -181,11 +181,11 @@
 // share at the end of it.
 func TestAnInstanceThatAskedForRest(t *testing.T) {
 	v := newTestView()
-	v.Resting("e1", start.Add(5*time.Second))
-	v.Resting("e1", start.Add(time.Second))
+	v.MarkResting("e1", start.Add(5*time.Second))
+	v.MarkResting("e1", start.Add(time.Second))
 	assert.Equal(t, Resting, v.Health("e1", start.Add(4*time.Second)))
-	v.Age(start.Add(6 * time.Second))
+	v.DropExpired(start.Add(6 * time.Second))
 	assert.Equal(t, Live, v.Health("e1", start.Add(6*time.Second)))
-	assert.InDelta(t, 0.1, v.Ramp("e1", start.Add(6*time.Second)), 0.001)
-	assert.InDelta(t, 1, v.Ramp("e1", start.Add(5*time.Second).Add(rampTime)), 0.001)
+	assert.InDelta(t, 0.1, v.RampFactor("e1", start.Add(6*time.Second)), 0.001)
+	assert.InDelta(t, 1, v.RampFactor("e1", start.Add(5*time.Second).Add(rampTime)), 0.001)
 }
--- a/pkg/fleet/view.go
+++ b/pkg/fleet/view.go
@@ -44,18 +44,18 @@
 	return &View{listed: make(map[string]Instance), notes: make(map[string]*note)}
 }
 
-// Replace takes a new list of the platform. Corrections stay until they age
+// SetList takes a new list of the platform. Corrections stay until they age
 // out, since the list lags what was seen.
-func (v *View) Replace(list []Instance, now time.Time) {
+func (v *View) SetList(list []Instance, now time.Time) {
 	clear(v.listed)
 	for _, i := range list {
 		v.listed[i.Name] = i
 	}
-	v.Age(now)
+	v.DropExpired(now)
 }
 
-// Age drops corrections that no longer say anything.
-func (v *View) Age(now time.Time) {
+// DropExpired drops corrections that no longer say anything.
+func (v *View) DropExpired(now time.Time) {
 	for name, n := range v.notes {
 		_, listed := v.listed[name]
 		if n.aged(now) && (!listed || n.failures == 0) {
@@ -68,9 +68,9 @@
 	return now.After(n.suspectUntil) && now.After(n.leavingUntil) && now.After(n.restUntil.Add(rampTime)) && now.Sub(n.lastFailure) > forgiveAfter
 }
 
-// Failed notes that an instance could not be reached. It is set aside for
+// MarkFailed notes that an instance could not be reached. It is set aside for
 // twice as long each time, so that one that flaps gets little.
-func (v *View) Failed(name string, now time.Time) {
+func (v *View) MarkFailed(name string, now time.Time) {
 	n := v.note(name)
 	if now.Sub(n.lastFailure) > forgiveAfter {
 		n.failures = 0
@@ -88,22 +88,22 @@
 	return time.Duration(min(d, float64(maxSuspect)))
 }
 
-// Reached notes that an instance answered, which ends its setting aside. The
+// MarkReachable notes that an instance answered, which ends its setting aside. The
 // count of failures stays, so that the next one weighs more.
-func (v *View) Reached(name string, now time.Time) {
+func (v *View) MarkReachable(name string, now time.Time) {
 	if n := v.notes[name]; n != nil && now.Before(n.suspectUntil) {
 		n.suspectUntil = now
 	}
 }
 
-// Leaving notes that an instance said, or a peer heard, that it leaves.
-func (v *View) Leaving(name string, now time.Time) {
+// MarkLeaving notes that an instance said, or a peer heard, that it leaves.
+func (v *View) MarkLeaving(name string, now time.Time) {
 	v.note(name).leavingUntil = now.Add(leavingFor)
 }
 
-// Resting notes that an instance asked for no requests until a time. Of several the latest
+// MarkResting notes that an instance asked for no requests until a time. Of several the latest
 // holds.
-func (v *View) Resting(name string, until time.Time) {
+func (v *View) MarkResting(name string, until time.Time) {
 	if n := v.note(name); until.After(n.restUntil) {
 		n.restUntil = until
 	}
@@ -162,9 +162,9 @@
 	return Live
 }
 
-// Ramp returns the part of its full share that an instance should get, above
+// RampFactor returns the part of its full share that an instance should get, above
 // 0 to 1: one that came back after failures or a rest is loaded gradually.
-func (v *View) Ramp(name string, now time.Time) float64 {
+func (v *View) RampFactor(name string, now time.Time) float64 {
 	const least = 0.1
 	n := v.notes[name]
 	if n == nil || n.failures == 0 && n.restUntil.IsZero() {
@@ -181,8 +181,8 @@
 	return min(1, max(least, back.Seconds()/rampTime.Seconds()))
 }
 
-// Instances calls visit for each listed instance with its health.
-func (v *View) Instances(now time.Time, visit func(Instance, Health)) {
+// ForEach calls visit for each listed instance with its health.
+func (v *View) ForEach(now time.Time, visit func(Instance, Health)) {
 	for name, i := range v.listed {
 		visit(i, v.Health(name, now))
 	}
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -215,7 +215,7 @@
 		}
 		bytes := heap(func() any {
 			v := fleet.NewView()
-			v.Replace(list, now)
+			v.SetList(list, now)
 			return v
 		})
 		v := fleet.NewView()
@@ -226,7 +226,7 @@
 			var h fleet.ListHistory
 			h.Update(delta.Apply(list))
 		})
-		row(n, bytes, perCall(func() { v.Replace(list, now) })/1000, size, len(jsonOf(delta)), take/1e6)
+		row(n, bytes, perCall(func() { v.SetList(list, now) })/1000, size, len(jsonOf(delta)), take/1e6)
 	}
 }
 
--- a/test/measure/croftyard.go
+++ b/test/measure/croftyard.go
@@ -104,7 +104,7 @@
 	for _, hash := range l.Engines {
 		instances = append(instances, fleet.Instance{Name: name(hash), Role: fleet.RoleEngine, State: fleet.StateLive})
 	}
-	r.view.Replace(instances, r.policy.w.clock())
+	r.view.SetList(instances, r.policy.w.clock())
 	r.loads = make(placement.Loads, len(l.Groups))
 	r.own()
 	for id, g := range r.owned {
@@ -168,7 +168,7 @@
 	now := r.policy.w.clock()
 	for hash, e := range r.engines {
 		e.Closed = r.view.Health(name(hash), now) != fleet.Live
-		e.Ramp = r.view.Ramp(name(hash), now)
+		e.Ramp = r.view.RampFactor(name(hash), now)
 		e.ExpireCounts(now)
 	}
 	if r.policy.w.spec.policy != noHandover {
@@ -241,7 +241,7 @@
 	w := r.policy.w
 	truth := w.byHash[hash]
 	if truth.down {
-		r.view.Failed(name(hash), w.clock())
+		r.view.MarkFailed(name(hash), w.clock())
 		return
 	}
 	r.engine(hash).ObserveReport(w.report(truth, r.index), w.clock())
@@ -368,9 +368,9 @@
 	// Refused or leaving: nothing ran, so the owner tries again at once.
 	w.after(time.Millisecond, func() {
 		if truth.leaving {
-			r.view.Leaving(name(e.Hash), w.clock())
+			r.view.MarkLeaving(name(e.Hash), w.clock())
 		} else {
-			r.view.Failed(name(e.Hash), w.clock())
+			r.view.MarkFailed(name(e.Hash), w.clock())
 		}
 		e.Closed = true
 		group.Finish(t, false, w.clock())
