--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -26,7 +26,7 @@
 func (r *Router) digestPeriod() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fleet.Period(r.settings.Limits.DigestPeriod, r.fleetSize())
+	return fleet.DigestPeriod(r.settings.Limits.DigestPeriod, r.fleetSize())
 }
 
 // tick refreshes what ages: suspects that may be tried again, loads, the parts
@@ -104,7 +104,7 @@
 	var line []fleet.ID
 	for _, hash := range partners.Direct {
 		messages = append(messages, message{to: peers[hash], digest: direct})
-		line = append(line, fleet.Short(hash))
+		line = append(line, fleet.ShortID(hash))
 	}
 	if len(partners.Relayed) == 0 {
 		return messages
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -100,7 +100,7 @@
 	return r.board.Stopping(shortName(name))
 }
 
-func shortName(name string) fleet.ID { return fleet.Short(placement.Hash(name)) }
+func shortName(name string) fleet.ID { return fleet.ShortID(placement.Hash(name)) }
 
 func (r *Router) rebuildPools(engines map[poolName][]fleet.Instance, routers map[string][]fleet.Instance) {
 	groupSize := policy.DefaultGroupSize
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -67,7 +67,7 @@
 	p.loads = make(placement.Loads, len(p.layout.Groups))
 	p.adapters = make(map[string][]int)
 	for g, group := range p.layout.Groups {
-		p.index[fleet.Short(group.ID)] = g
+		p.index[fleet.ShortID(group.ID)] = g
 		p.loads[g] = -1
 		p.noteAdapters(g)
 	}
@@ -197,7 +197,7 @@
 		if owned == nil && !mine {
 			continue
 		}
-		load := fleet.GroupLoad{Group: fleet.Short(group.ID)}
+		load := fleet.GroupLoad{Group: fleet.ShortID(group.ID)}
 		if owned != nil {
 			load.Load = owned.Load()
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -122,7 +122,7 @@
 		poison:      newPoison(log),
 		sequence:    rand.Uint32(),
 	}
-	r.selfID = fleet.Short(r.selfHash)
+	r.selfID = fleet.ShortID(r.selfHash)
 	r.board = fleet.NewDigestTable(r.selfID)
 	r.claims = once.NewClaims(r.platform, steady.Now)
 	r.peers = peer.NewClient(r.meter)
--- a/pkg/fleet/digest.go
+++ b/pkg/fleet/digest.go
@@ -9,8 +9,8 @@
 // ID is the 32 bit short form of a 64 bit hash, as digests carry it.
 type ID uint32
 
-// Short returns the short form of a hash.
-func Short(hash uint64) ID {
+// ShortID returns the short form of a hash.
+func ShortID(hash uint64) ID {
 	return ID(hash >> 32)
 }
 
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -157,7 +157,7 @@
 func digestRow(n, told int) {
 	routers := hashes("router", n)
 	own := func(i int) fleet.Digest {
-		d := fleet.Digest{Sender: fleet.Short(routers[i]), Sequence: 1 << 20, Version: 1 << 21}
+		d := fleet.Digest{Sender: fleet.ShortID(routers[i]), Sequence: 1 << 20, Version: 1 << 21}
 		for g := range 2 {
 			d.Loads = append(d.Loads, fleet.GroupLoad{Group: fleet.ID(1<<30 + 2*i + g), Load: 20})
 		}
@@ -172,7 +172,7 @@
 		total += bytes
 		messages += sent
 	}
-	period := fleet.Period(time.Second, n)
+	period := fleet.DigestPeriod(time.Second, n)
 	board := fleet.NewDigestTable(1)
 	d := own(0)
 	take := perCall(func() {
@@ -189,11 +189,11 @@
 		index[hash] = at
 	}
 	p := fleet.PartnersOf(routers[i], routers)
-	board := fleet.NewDigestTable(fleet.Short(routers[i]))
+	board := fleet.NewDigestTable(fleet.ShortID(routers[i]))
 	var line []fleet.ID
 	for _, other := range p.Direct {
 		board.Put(own(index[other]), time.Unix(0, 0))
-		line = append(line, fleet.Short(other))
+		line = append(line, fleet.ShortID(other))
 	}
 	bytes = len(p.Direct) * (proto.Size(peer.EncodeDigest(own(i))) + peer.CallOverhead)
 	bytes += len(p.Relayed) * (proto.Size(peer.EncodeDigest(board.Aggregate(own(i), line))) + peer.CallOverhead)
--- a/test/measure/control.go
+++ b/test/measure/control.go
@@ -25,7 +25,7 @@
 	var line []fleet.ID
 	for _, hash := range partners.Direct {
 		board.Put(c.digest(c.byHash[hash]), c.w.clock())
-		line = append(line, fleet.Short(hash))
+		line = append(line, fleet.ShortID(hash))
 	}
 	reply := peer.CallOverhead
 	bytes := len(partners.Direct) * (proto.Size(peer.EncodeDigest(own)) + reply)
@@ -33,7 +33,7 @@
 }
 
 func (c *croftyard) digest(r *simRouter) fleet.Digest {
-	d := fleet.Digest{Sender: fleet.Short(c.hashes[r.index]), Version: 9000}
+	d := fleet.Digest{Sender: fleet.ShortID(c.hashes[r.index]), Version: 9000}
 	d.Sequence = 1 << 20
 	d.Loads = r.told[len(r.told)-1]
 	for org := range fleet.MaxDemands {
--- a/test/measure/croftyard.go
+++ b/test/measure/croftyard.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func (c *croftyard) period() time.Duration { return fleet.Period(digestPeriod, len(c.routers)) }
+func (c *croftyard) period() time.Duration { return fleet.DigestPeriod(digestPeriod, len(c.routers)) }
 
 func (c *croftyard) layout(version int) *placement.Layout {
 	l := c.layouts[version]
@@ -160,7 +160,7 @@
 		}
 		mine := l.Groups[at].Owner == r.index
 		if load := g.Load(); load > 0 || mine {
-			loads = append(loads, fleet.GroupLoad{Group: fleet.Short(id), Load: load})
+			loads = append(loads, fleet.GroupLoad{Group: fleet.ShortID(id), Load: load})
 		}
 	}
 	copy(r.told[:], r.told[1:])
@@ -187,7 +187,7 @@
 	l := r.policy.layout(r.version)
 	index := make(map[fleet.ID]int, len(l.Groups))
 	for g := range l.Groups {
-		index[fleet.Short(l.Groups[g].ID)] = g
+		index[fleet.ShortID(l.Groups[g].ID)] = g
 		r.loads[g] = -1
 	}
 	for _, other := range r.policy.routers {
