--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -67,7 +67,7 @@
 	callers, _ := fleet.Routers[0].Addresses()
 	names := platform.Dialect()
 	fmt.Fprintf(out, "logs in %s\n\nready; try:\n  curl -isN http://%s/generate/x -H '%s: %s%s' -H '%s: first' -d 'the lock is open'\n",
-		c.Logs, callers, names.Key, names.KeyScheme, fleetdemo.Key, names.Attempt)
+		c.Logs, callers, names.Key, names.KeyScheme, fleetdemo.Key, names.AttemptID)
 	fmt.Fprintf(out, "and, while it runs:\n  curl -X POST %s\n", fleet.CrashURL("first"))
 	<-ctx.Done()
 	return nil
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -119,7 +119,7 @@
 	e.watcher = watch.New(e.source(e.settings), e.followOptions(e.settings),
 		directory.New(2*period, relistBeats*b.Heartbeat), e.holder, e.balancer, e.log)
 	e.pool = upstream.New(upstream.Options{
-		IDHeader:       e.outside.Dialect.Attempt,
+		IDHeader:       e.outside.Dialect.AttemptID,
 		DialTimeout:    e.settings.Routes.Dial,
 		SilenceTimeout: e.settings.Routes.Silence,
 		IdleTime:       e.settings.Routes.Keep,
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -52,7 +52,7 @@
 	set.Bounds.Grace = grace
 	e, err := Start(set, Outside{
 		Source: func(settings.Settings, time.Duration) watch.Source { return s },
-		Dialect: front.Dialect{Attempt: "Try", Key: "Authorization", ParseParts: func(string) []balance.Part { return nil },
+		Dialect: front.Dialect{AttemptID: "Try", Key: "Authorization", ParseParts: func(string) []balance.Part { return nil },
 			ParseLoad: func(string) (int, bool) { return 0, false }},
 		ReadyPath:  "/ready",
 		LogDropped: func() uint64 { return 0 },
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -207,7 +207,7 @@
 		header.Set("Connection", "close")
 	}
 	c.front.announceClose(c.writer)
-	header.Set(c.front.options.Dialect.Attempt, c.id)
+	header.Set(c.front.options.Dialect.AttemptID, c.id)
 	http.Error(c.writer, r.reason, r.status)
 	name := outcomeRefused
 	if c.mayHaveRun {
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -92,7 +92,7 @@
 		front:   f,
 		writer:  w,
 		request: r,
-		id:      r.Header.Get(f.options.Dialect.Attempt),
+		id:      r.Header.Get(f.options.Dialect.AttemptID),
 		arrival: now,
 		draw:    rand.Float64(),
 	}
@@ -114,7 +114,7 @@
 		c.refuse(refused)
 		return
 	}
-	c.parts = c.front.options.Dialect.ParseParts(c.request.Header.Get(c.front.options.Dialect.Parts))
+	c.parts = c.front.options.Dialect.ParseParts(c.request.Header.Get(c.front.options.Dialect.PromptParts))
 	c.front.retries.Earn()
 	ctx, cancel := context.WithTimeout(c.request.Context(), steady.Until(c.end))
 	defer cancel()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -32,24 +32,24 @@
 // speak.
 type Dialect struct {
 	// Headers of a caller's request.
-	Attempt  string
-	Deadline string
-	Parts    string
-	Key      string
+	AttemptID   string
+	Deadline    string
+	PromptParts string
+	Key         string
 	// KeyScheme precedes the key in its header.
 	KeyScheme string
 	// Headers that the router sets towards a replica.
-	Organisation string
-	Expect       string
-	Priority     string
-	CopyFrom     string
-	// Own names all headers that only routers may set; a caller's are dropped.
-	Own []string
+	Organisation  string
+	ExpectReplica string
+	Priority      string
+	CopyFrom      string
+	// RouterOnly names all headers that only routers may set; a caller's are dropped.
+	RouterOnly []string
 	// Headers of a replica's answer.
-	NotRun string
-	Load   string
-	// Leaving announces the replica's shutdown.
-	Leaving string
+	NotExecuted string
+	Load        string
+	// ShuttingDown announces the replica's shutdown.
+	ShuttingDown string
 	// ParseParts reads the value of Parts, ParseLoad that of Load.
 	ParseParts func(string) []balance.Part
 	ParseLoad  func(string) (requests int, ok bool)
--- a/internal/front/outgoing.go
+++ b/internal/front/outgoing.go
@@ -13,7 +13,7 @@
 func (c *call) outgoing(choice balance.Choice) *upstream.Request {
 	d := &c.front.options.Dialect
 	header := forwardedHeader(c.request.Header)
-	for _, name := range d.Own {
+	for _, name := range d.RouterOnly {
 		header.Del(name)
 	}
 	if c.organisation != nil || c.front.holder.Current().Table.Keyed() {
@@ -23,7 +23,7 @@
 		header.Set(d.Organisation, c.organisation.Name)
 	}
 	header.Set(d.Deadline, strconv.FormatInt(max(steady.Until(c.end).Milliseconds(), 1), 10))
-	header.Set(d.Expect, choice.Replica.ID)
+	header.Set(d.ExpectReplica, choice.Replica.ID)
 	if c.service.Engine != nil {
 		if !c.front.options.Without.Has(mechanism.Priority) {
 			header.Set(d.Priority, strconv.Itoa(c.priority()))
--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -18,7 +18,7 @@
 	if load, told := d.ParseLoad(answer.Header.Get(d.Load)); told {
 		c.front.balancer.LoadReported(id, load, steady.Now())
 	}
-	if answer.Header.Get(d.NotRun) != "" || answer.StatusCode == http.StatusMisdirectedRequest {
+	if answer.Header.Get(d.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest {
 		drain(answer)
 		c.outcome.reason = "not taken: " + strconv.Itoa(answer.StatusCode)
 		c.front.reportFailure(c.id, id, rejectionKind(answer.StatusCode))
--- a/internal/front/rig_test.go
+++ b/internal/front/rig_test.go
@@ -29,10 +29,10 @@
 // testDialect has names of its own: the front must know none by heart.
 func testDialect() Dialect {
 	return Dialect{
-		Attempt: "Try", Deadline: "Left", Parts: "Parts", Key: "Authorization", KeyScheme: "Key ",
-		Organisation: "Org", Expect: "Want", Priority: "Rank", CopyFrom: "Copy",
-		Own:    []string{"Org", "Want", "Rank", "Copy"},
-		NotRun: "Not-Run", Load: "Load", Leaving: "Leaving",
+		AttemptID: "Try", Deadline: "Left", PromptParts: "Parts", Key: "Authorization", KeyScheme: "Key ",
+		Organisation: "Org", ExpectReplica: "Want", Priority: "Rank", CopyFrom: "Copy",
+		RouterOnly:  []string{"Org", "Want", "Rank", "Copy"},
+		NotExecuted: "Not-Run", Load: "Load", ShuttingDown: "Leaving",
 		ParseParts: func(s string) []balance.Part {
 			if s == "" {
 				return nil
--- a/internal/front/statements.go
+++ b/internal/front/statements.go
@@ -20,7 +20,7 @@
 		// Another replica stands at the address now.
 		return
 	}
-	leaves := announcesShutdown(answer.Header.Get(f.options.Dialect.Leaving))
+	leaves := announcesShutdown(answer.Header.Get(f.options.Dialect.ShuttingDown))
 	if leaves {
 		f.metrics.Draining.Inc(1)
 		if statements.MarkDraining(id, sent, now) {
--- a/internal/standin/replica.go
+++ b/internal/standin/replica.go
@@ -182,18 +182,18 @@
 
 func (r *Replica) serve(w http.ResponseWriter, request *http.Request) {
 	names := platform.Dialect()
-	attempt := request.Header.Get(names.Attempt)
-	w.Header().Set(names.Attempt, attempt)
+	attempt := request.Header.Get(names.AttemptID)
+	w.Header().Set(names.AttemptID, attempt)
 	if r.isLeaving() {
 		w.Header().Set("Connection", "close")
 	}
-	if expected := request.Header.Get(names.Expect); expected != "" && expected != r.ID {
-		w.Header().Set(names.NotRun, "expected another")
+	if expected := request.Header.Get(names.ExpectReplica); expected != "" && expected != r.ID {
+		w.Header().Set(names.NotExecuted, "expected another")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	if r.isAnnouncing() {
-		w.Header().Set(names.Leaving, "1")
+		w.Header().Set(names.ShuttingDown, "1")
 	}
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
@@ -231,9 +231,9 @@
 	milliseconds, _ := strconv.ParseFloat(request.Header.Get(names.Deadline), 64)
 	after, _ := strconv.Atoi(request.Header.Get(lastEventHeader))
 	run := &ReplicaRun{
-		Attempt:  request.Header.Get(names.Attempt),
+		Attempt:  request.Header.Get(names.AttemptID),
 		Instance: r.ID,
-		Expected: request.Header.Get(names.Expect),
+		Expected: request.Header.Get(names.ExpectReplica),
 		Service:  r.Options.Service,
 		Method:   request.Method,
 		Path:     request.URL.RequestURI(),
--- a/internal/standin/replica_faults.go
+++ b/internal/standin/replica_faults.go
@@ -58,7 +58,7 @@
 		r.answer(w, run, http.StatusServiceUnavailable)
 	case FaultFull:
 		r.change(run, func() { run.Refused = true })
-		w.Header().Set(platform.Dialect().NotRun, "full")
+		w.Header().Set(platform.Dialect().NotExecuted, "full")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case FaultHang:
 		r.change(run, func() { run.Broken = true })
@@ -146,5 +146,5 @@
 // wire is a whole plain answer as it is sent.
 func wire(attempt, signature, text string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
-		platform.Dialect().Attempt, attempt, platform.SignatureHeader, signature, len(text), text)
+		platform.Dialect().AttemptID, attempt, platform.SignatureHeader, signature, len(text), text)
 }
--- a/internal/standin/replica_statements.go
+++ b/internal/standin/replica_statements.go
@@ -44,7 +44,7 @@
 // turnAway answers that a request is not run, and asks for rest.
 func (r *Replica) turnAway(w http.ResponseWriter, run *ReplicaRun, asked time.Duration) {
 	r.change(run, func() { run.Refused, run.Rest = true, asked })
-	w.Header().Set(platform.Dialect().NotRun, "resting")
+	w.Header().Set(platform.Dialect().NotExecuted, "resting")
 	w.Header().Set("Retry-After", strconv.FormatFloat(asked.Seconds(), 'f', -1, 64))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
--- a/test/crash/rig_test.go
+++ b/test/crash/rig_test.go
@@ -192,7 +192,7 @@
 	}
 	names := platform.Dialect()
 	request.Host = host
-	request.Header.Set(names.Attempt, fmt.Sprintf("%016x", f.attempt.Add(1)))
+	request.Header.Set(names.AttemptID, fmt.Sprintf("%016x", f.attempt.Add(1)))
 	request.Header.Set(names.Key, names.KeyScheme+key)
 	request.Header.Set(names.Deadline, fmt.Sprint(deadline.Milliseconds()))
 	response, err := http.DefaultClient.Do(request)
--- a/test/soak/caller.go
+++ b/test/soak/caller.go
@@ -109,7 +109,7 @@
 	var head bytes.Buffer
 	names := platform.Dialect()
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", a.Method, a.Path, host)
-	fmt.Fprintf(&head, "%s: %s\r\n%s: %d\r\n%s: %s%s\r\n", names.Attempt, a.ID, names.Deadline, a.Deadline.Milliseconds(), names.Key, names.KeyScheme, a.Key)
+	fmt.Fprintf(&head, "%s: %s\r\n%s: %d\r\n%s: %s%s\r\n", names.AttemptID, a.ID, names.Deadline, a.Deadline.Milliseconds(), names.Key, names.KeyScheme, a.Key)
 	if s.chunked {
 		head.WriteString("Transfer-Encoding: chunked\r\n\r\n")
 	} else {
@@ -155,9 +155,9 @@
 		return false, asGarbled(err)
 	}
 	a.Status = response.StatusCode
-	a.EchoedID = response.Header.Get(platform.Dialect().Attempt)
+	a.EchoedID = response.Header.Get(platform.Dialect().AttemptID)
 	a.Signature = response.Header.Get(platform.SignatureHeader)
-	a.HeadAt, a.Leaving = time.Now(), response.Header.Get(platform.Dialect().Leaving) != ""
+	a.HeadAt, a.Leaving = time.Now(), response.Header.Get(platform.Dialect().ShuttingDown) != ""
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
 		err = readEvents(a, response.Body)
 	} else {
