--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -123,7 +123,7 @@
 		DialTimeout:    e.settings.Routes.Dial,
 		SilenceTimeout: e.settings.Routes.Silence,
 		IdleTime:       e.settings.Routes.Keep,
-		Opened:         func(string) { e.metrics.Opened.Inc(1) },
+		Opened:         func(string) { e.metrics.ConnectionsOpened.Inc(1) },
 		Silenced: func(address string, dropped int) {
 			e.log.Write(event.ConnsSilent, event.F("address", address), event.F("dropped", dropped))
 		},
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -168,7 +168,7 @@
 	}
 	e := start(t, &source{snapshot: served("127.0.0.1:1")}, time.Second)
 	until(e.Ready)
-	e.metrics.Ended("r", "served", time.Millisecond, time.Millisecond, true)
+	e.metrics.RecordRequest("r", "served", time.Millisecond, time.Millisecond, true)
 	response, err := http.Get("http://" + e.listeners[2].Addr().String() + "/metrics")
 	require.NoError(t, err)
 	defer response.Body.Close()
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -228,7 +228,7 @@
 func (c *call) recordEnd() {
 	f := c.front
 	took := steady.Since(c.arrival)
-	f.metrics.Ended(c.name(), c.outcome.name, took, c.firstByte.Sub(c.arrival), !c.firstByte.IsZero())
+	f.metrics.RecordRequest(c.name(), c.outcome.name, took, c.firstByte.Sub(c.arrival), !c.firstByte.IsZero())
 	if c.exclusive {
 		f.poison.End(c.digest())
 	}
--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -65,7 +65,7 @@
 }
 
 func (c *call) refusePoisoned(after time.Duration) *refusal {
-	c.front.metrics.Poisoned.Inc(1)
+	c.front.metrics.PoisonRefusals.Inc(1)
 	return &refusal{status: http.StatusServiceUnavailable, reason: "crashes what runs it", retryAfter: after}
 }
 
--- a/internal/front/gone_test.go
+++ b/internal/front/gone_test.go
@@ -117,7 +117,7 @@
 			leave(caller)
 			// One read, of the head. That of the end is still to come.
 			late.reads <- struct{}{}
-			until(func() bool { return r.front.metrics.Whole.Count() == 1 })
+			until(func() bool { return r.front.metrics.Duration.Count() == 1 })
 			assert.Zero(t, arrivals.Load())
 			gone := gometrics.GetOrRegisterCounter("croftyard.front.requests."+outcomeGone, r.front.metrics.Registry)
 			assert.EqualValues(t, 1, gone.Count())
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -10,17 +10,17 @@
 // Metrics are the figures of a front. Times are in milliseconds. Names follow
 // croftyard.PART.WHAT[_UNIT][.LABEL]; docs/METRICS.md lists them.
 type Metrics struct {
-	Registry gometrics.Registry
-	Retries  gometrics.Counter
-	Opened   gometrics.Counter
-	// Poisoned counts refusals of requests that are taken to crash what runs them.
-	Poisoned gometrics.Counter
-	// Draining and Resting count answers by which replicas announced their shutdown and
+	Registry          gometrics.Registry
+	Retries           gometrics.Counter
+	ConnectionsOpened gometrics.Counter
+	// PoisonRefusals counts refusals of requests that are taken to crash what runs them.
+	PoisonRefusals gometrics.Counter
+	// DrainingAnswers and Resting count answers by which replicas announced their shutdown and
 	// asked for rest.
-	Draining  gometrics.Counter
-	Resting   gometrics.Counter
-	FirstByte gometrics.Histogram
-	Whole     gometrics.Histogram
+	DrainingAnswers gometrics.Counter
+	RestingAnswers  gometrics.Counter
+	TimeToFirstByte gometrics.Histogram
+	Duration        gometrics.Histogram
 
 	mu     sync.Mutex
 	routes map[string]bool
@@ -41,26 +41,26 @@
 func NewMetrics() *Metrics {
 	r := gometrics.NewRegistry()
 	return &Metrics{
-		Registry:  r,
-		Retries:   gometrics.NewRegisteredCounter("croftyard.front.repeats", r),
-		Opened:    gometrics.NewRegisteredCounter("croftyard.front.connections_opened", r),
-		Poisoned:  gometrics.NewRegisteredCounter("croftyard.front.refused_as_poison", r),
-		Draining:  gometrics.NewRegisteredCounter("croftyard.front.answers_draining", r),
-		Resting:   gometrics.NewRegisteredCounter("croftyard.front.answers_resting", r),
-		FirstByte: gometrics.NewRegisteredHistogram("croftyard.front.first_byte_ms", r, gometrics.NewUniformSample(sampleSize)),
-		Whole:     gometrics.NewRegisteredHistogram("croftyard.front.whole_ms", r, gometrics.NewUniformSample(sampleSize)),
-		routes:    make(map[string]bool),
+		Registry:          r,
+		Retries:           gometrics.NewRegisteredCounter("croftyard.front.repeats", r),
+		ConnectionsOpened: gometrics.NewRegisteredCounter("croftyard.front.connections_opened", r),
+		PoisonRefusals:    gometrics.NewRegisteredCounter("croftyard.front.refused_as_poison", r),
+		DrainingAnswers:   gometrics.NewRegisteredCounter("croftyard.front.answers_draining", r),
+		RestingAnswers:    gometrics.NewRegisteredCounter("croftyard.front.answers_resting", r),
+		TimeToFirstByte:   gometrics.NewRegisteredHistogram("croftyard.front.first_byte_ms", r, gometrics.NewUniformSample(sampleSize)),
+		Duration:          gometrics.NewRegisteredHistogram("croftyard.front.whole_ms", r, gometrics.NewUniformSample(sampleSize)),
+		routes:            make(map[string]bool),
 	}
 }
 
-// Ended counts a call by its route and how it ended.
-func (m *Metrics) Ended(route, outcome string, took, first time.Duration, begun bool) {
+// RecordRequest counts a call by its route and how it ended.
+func (m *Metrics) RecordRequest(route, outcome string, took, first time.Duration, begun bool) {
 	gometrics.GetOrRegisterCounter("croftyard.front.requests."+outcome, m.Registry).Inc(1)
-	m.Whole.Update(took.Milliseconds())
+	m.Duration.Update(took.Milliseconds())
 	label := m.label(route)
 	m.histogram("croftyard.front.route_whole_ms." + label).Update(took.Milliseconds())
 	if begun {
-		m.FirstByte.Update(first.Milliseconds())
+		m.TimeToFirstByte.Update(first.Milliseconds())
 		m.histogram("croftyard.front.route_first_byte_ms." + label).Update(first.Milliseconds())
 	}
 }
--- a/internal/front/statements.go
+++ b/internal/front/statements.go
@@ -22,7 +22,7 @@
 	}
 	leaves := announcesShutdown(answer.Header.Get(f.options.Dialect.ShuttingDown))
 	if leaves {
-		f.metrics.Draining.Inc(1)
+		f.metrics.DrainingAnswers.Inc(1)
 		if statements.MarkDraining(id, sent, now) {
 			f.log.Write(event.ReplicaDraining, event.F("replica", id), event.F("request", request), event.F("status", answer.StatusCode))
 		}
@@ -46,7 +46,7 @@
 	if rest == 0 {
 		return
 	}
-	f.metrics.Resting.Inc(1)
+	f.metrics.RestingAnswers.Inc(1)
 	now := steady.Now()
 	until := now.Add(rest)
 	if f.watcher.Statements().MarkResting(id, sent, until, now) {
