--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -140,7 +140,7 @@
 		DataCentre: e.settings.DataCentre,
 		Limits:     frontLimits(b),
 		Poison:     e.poison,
-		Mine:       e.gossip.OwnsTask,
+		OwnsTask:   e.gossip.OwnsTask,
 		Without:    e.settings.Without,
 	}, e.watcher, e.holder, e.balancer, e.pool, e.metrics, e.log)
 	e.balancer.SetReplicaHooks(balance.ReplicaHooks{
@@ -227,7 +227,7 @@
 	if !first {
 		return
 	}
-	e.log.Write(event.Exhausted, event.F("error", err), event.F("dropped", dropped), event.F("in_flight", e.front.Active()))
+	e.log.Write(event.Exhausted, event.F("error", err), event.F("dropped", dropped), event.F("in_flight", e.front.ActiveRequests()))
 }
 
 // proven tells whether the configuration is proven to be new enough for keys.
@@ -296,7 +296,7 @@
 	}
 	sent, received := e.gossip.Bytes()
 	reads, failed := e.watcher.Reads()
-	e.log.Write(event.Stopped, event.F("in_flight", e.front.Active()), event.F("ran_ms", steady.Since(e.started).Milliseconds()),
+	e.log.Write(event.Stopped, event.F("in_flight", e.front.ActiveRequests()), event.F("ran_ms", steady.Since(e.started).Milliseconds()),
 		event.F("peers_sent", sent), event.F("peers_received", received), event.F("reads", reads), event.F("reads_failed", failed))
 }
 
@@ -321,7 +321,7 @@
 // steady time, and is not acted on until it is proven again; connections that rested may
 // have ended meanwhile without a word.
 func (e *Entry) woke(slept time.Duration) {
-	e.log.Write(event.Woke, event.F("slept_ms", slept.Milliseconds()), event.F("in_flight", e.front.Active()))
+	e.log.Write(event.Woke, event.F("slept_ms", slept.Milliseconds()), event.F("in_flight", e.front.ActiveRequests()))
 	e.front.RestartTimers()
 	e.pool.DropIdle()
 	e.watcher.ReadSoon()
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -29,7 +29,7 @@
 func (e *Entry) shutDown() error {
 	asked := steady.Now()
 	grace := e.bounds.Load().Grace
-	e.log.Write(event.Draining, event.F("in_flight", e.front.Active()), event.F("connections", e.conns.Open()))
+	e.log.Write(event.Draining, event.F("in_flight", e.front.ActiveRequests()), event.F("connections", e.conns.Open()))
 	e.stopping.Store(true)
 	e.front.BeginShutdown(asked.Add(part(grace, serveOnPart)), asked.Add(part(grace, cutPart)))
 	e.gossip.Leave()
@@ -70,7 +70,7 @@
 
 // cutCallers ends what is in flight. Callers whose answer has not begun are told.
 func (e *Entry) cutCallers(cause error) error {
-	e.log.Write(event.DrainCut, event.F("in_flight", e.front.Active()))
+	e.log.Write(event.DrainCut, event.F("in_flight", e.front.ActiveRequests()))
 	e.front.CancelInFlight()
 	ctx, cancel := context.WithTimeout(context.Background(), part(e.bounds.Load().Grace, tellPart))
 	defer cancel()
--- a/internal/entry/subject.go
+++ b/internal/entry/subject.go
@@ -44,7 +44,7 @@
 		Ready:      e.Ready(),
 		Version:    e.watcher.Digest().Version,
 		ProofMS:    e.proofAge(now).Milliseconds(),
-		Active:     e.front.Active(),
+		Active:     e.front.ActiveRequests(),
 		Routers:    e.gossip.MemberCount(),
 		Rank:       e.gossip.Rank(),
 	}
@@ -103,7 +103,7 @@
 		{Name: "croftyard_replicas_resting", Value: float64(resting)},
 		{Name: "croftyard_poison_marked", Value: float64(marked)},
 		{Name: "croftyard_poison_held", Value: float64(held)},
-		{Name: "croftyard_front_active", Value: float64(e.front.Active())},
+		{Name: "croftyard_front_active", Value: float64(e.front.ActiveRequests())},
 		{Name: "croftyard_front_connections_idle", Value: float64(e.pool.Idle())},
 		{Name: "croftyard_log_lines_dropped", Value: float64(e.outside.LogDropped())},
 	}
--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -71,7 +71,7 @@
 
 // mine tells whether, of all routers, this one is to try a request that was held.
 func (f *Front) mine(d poison.Digest) bool {
-	return f.options.Mine == nil || f.options.Mine(d.String())
+	return f.options.OwnsTask == nil || f.options.OwnsTask(d.String())
 }
 
 const (
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -179,7 +179,7 @@
 
 	digest := r.mark("/single/y", "body", 3)
 	r.front.poison.SetLimits(poison.Limits{Crashes: 3})
-	r.front.options.Mine = func(task string) bool { return task != digest.String() }
+	r.front.options.OwnsTask = func(task string) bool { return task != digest.String() }
 	answer, _, err = r.send(t, http.MethodPost, "/single/y", "body")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, answer.StatusCode, "another router tries it")
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -63,8 +63,8 @@
 	Limits     Limits
 	// Poison holds the marks against requests; nil: marks of its own.
 	Poison *poison.Memory
-	// Mine tells whether, of all routers, this one is to do a task; nil: it is.
-	Mine func(task string) bool
+	// OwnsTask tells whether, of all routers, this one is to do a task; nil: it is.
+	OwnsTask func(task string) bool
 	// Without are mechanisms that an experiment leaves out.
 	Without mechanism.Set
 }
@@ -145,8 +145,8 @@
 	f.retries.Set(l.RetryRatio, l.RetryBurst)
 }
 
-// Active returns the number of requests that are served now.
-func (f *Front) Active() int { return int(f.active.Load()) }
+// ActiveRequests returns the number of requests that are served now.
+func (f *Front) ActiveRequests() int { return int(f.active.Load()) }
 
 // ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/internal/front/gone_test.go
+++ b/internal/front/gone_test.go
@@ -179,7 +179,7 @@
 			test.before(caller)
 			caller.Close()
 			<-ended
-			until(func() bool { return r.front.Active() == 0 })
+			until(func() bool { return r.front.ActiveRequests() == 0 })
 			assert.EqualValues(t, 1, arrivals.Load(), "nothing is sent for it any more")
 		})
 	}
@@ -201,7 +201,7 @@
 	_, err := io.WriteString(caller, head("GET", "/short/x"))
 	require.NoError(t, err)
 	<-ended
-	until(func() bool { return r.front.Active() == 0 })
+	until(func() bool { return r.front.ActiveRequests() == 0 })
 }
 
 func TestTheTimeOfAnAnswerDoesNotBoundWhatFollowsIt(t *testing.T) {
