--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -26,7 +26,7 @@
 func (r *Router) digestPeriod() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fleet.DigestPeriod(r.settings.Limits.DigestPeriod, r.fleetSize())
+	return fleet.ScaledPeriod(r.settings.Limits.DigestPeriod, r.fleetSize())
 }
 
 // tick refreshes what ages: suspects that may be tried again, loads, the parts
--- a/internal/router/list.go
+++ b/internal/router/list.go
@@ -63,7 +63,7 @@
 	}
 	l.router.mu.Lock()
 	defer l.router.mu.Unlock()
-	return fleet.DigestPeriod(poll, l.router.fleetSize())
+	return fleet.ScaledPeriod(poll, l.router.fleetSize())
 }
 
 // readers returns the peers to ask, in the order in which this router asks
--- a/pkg/fleet/partners.go
+++ b/pkg/fleet/partners.go
@@ -68,9 +68,9 @@
 // slowFrom is the number of routers from which digests are sent half as often.
 const slowFrom = 64
 
-// DigestPeriod returns the pause between two digests in a data centre of so many
+// ScaledPeriod returns the pause between two digests in a data centre of so many
 // routers. In a large one a router would otherwise spend more than its budget.
-func DigestPeriod(base time.Duration, routers int) time.Duration {
+func ScaledPeriod(base time.Duration, routers int) time.Duration {
 	if routers >= slowFrom {
 		return 2 * base
 	}
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -172,7 +172,7 @@
 		total += bytes
 		messages += sent
 	}
-	period := fleet.DigestPeriod(time.Second, n)
+	period := fleet.ScaledPeriod(time.Second, n)
 	board := fleet.NewDigestTable(1)
 	d := own(0)
 	take := perCall(func() {
--- a/test/measure/croftyard.go
+++ b/test/measure/croftyard.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func (c *croftyard) period() time.Duration { return fleet.DigestPeriod(digestPeriod, len(c.routers)) }
+func (c *croftyard) period() time.Duration { return fleet.ScaledPeriod(digestPeriod, len(c.routers)) }
 
 func (c *croftyard) layout(version int) *placement.Layout {
 	l := c.layouts[version]
