--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -51,24 +51,24 @@
 	w.mark, w.plainMark = w.directory.Mark(directory.WithStarts), w.directory.Mark(directory.Plain)
 	w.notifyUpdate()
 	for _, c := range changes {
-		switch c.What {
+		switch c.Kind {
 		case directory.Restarted:
 			// Routers that receive the list see it by the start in the replica's entry.
 			w.balancer.ReplicaRestarted(c.Replica.ID, c.Replica.Born == 0, steady.Now())
 		case directory.Left:
 			w.balancer.ReplicaRemoved(c.Replica.ID)
 		}
-		if c.Centre != "" {
-			w.log.Write(centreEvent(c.What), event.F("data_centre", c.Centre))
+		if c.DataCentre != "" {
+			w.log.Write(centreEvent(c.Kind), event.F("data_centre", c.DataCentre))
 			continue
 		}
 		w.log.Write(event.ReplicaChanged, event.F("replica", c.Replica.ID), event.F("service", c.Replica.Service),
-			event.F("address", c.Replica.Address), event.F("change", string(c.What)))
+			event.F("address", c.Replica.Address), event.F("change", string(c.Kind)))
 	}
 }
 
 // centreEvent is the event of a change of a data centre.
-func centreEvent(what directory.What) event.ID {
+func centreEvent(what directory.ChangeKind) event.ID {
 	if what == directory.Evacuated {
 		return event.CentreEvacuated
 	}
--- a/pkg/directory/confirm_test.go
+++ b/pkg/directory/confirm_test.go
@@ -46,7 +46,7 @@
 	d.Replace(ready("a", "b"), at(0))
 	d.Replace(nil, at(10))
 	assert.Empty(t, d.Confirm(at(11)))
-	assert.Equal(t, map[string]What{"a": Left, "b": Left}, changes(d.Confirm(at(12.5))))
+	assert.Equal(t, map[string]ChangeKind{"a": Left, "b": Left}, changes(d.Confirm(at(12.5))))
 }
 
 // BenchmarkConfirm is what it costs to hear that nothing has changed.
--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -73,13 +73,13 @@
 type Change struct {
 	// Replica is the one that changed; empty where a data centre did.
 	Replica Replica
-	// Centre is the data centre that changed, or empty.
-	Centre string
-	What   What
+	// DataCentre is the data centre that changed, or empty.
+	DataCentre string
+	Kind       ChangeKind
 }
 
-// What says how a replica changed.
-type What string
+// ChangeKind says how a replica changed.
+type ChangeKind string
 
 // Directory is not safe for concurrent use.
 type Directory struct {
@@ -174,7 +174,7 @@
 			what = Spoilt
 		}
 		delete(d.departed, r.ID)
-		return append(changes, Change{Replica: r, What: what})
+		return append(changes, Change{Replica: r, Kind: what})
 	}
 	if d.listsEarlierStart(&r, old) {
 		r = keepLaterStart(r, old.replica)
@@ -210,7 +210,7 @@
 		r.Counted = max(r.Counted, old.replica.Counted)
 	}
 	if what != "" {
-		changes = append(changes, Change{Replica: r, What: what})
+		changes = append(changes, Change{Replica: r, Kind: what})
 	}
 	if !sameContent(&r, &old.replica) {
 		old.sums = sumsOf(&r)
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -21,22 +21,22 @@
 	return list
 }
 
-func changes(list []Change) map[string]What {
-	out := make(map[string]What)
+func changes(list []Change) map[string]ChangeKind {
+	out := make(map[string]ChangeKind)
 	for _, c := range list {
-		out[c.Replica.ID] = c.What
+		out[c.Replica.ID] = c.Kind
 	}
 	return out
 }
 
 func TestReplicasJoinDrainAndLeave(t *testing.T) {
 	d := New(3*time.Second, 2*time.Second)
-	assert.Equal(t, map[string]What{"a": Joined, "b": Joined}, changes(d.Replace(ready("a", "b"), at(0))))
+	assert.Equal(t, map[string]ChangeKind{"a": Joined, "b": Joined}, changes(d.Replace(ready("a", "b"), at(0))))
 	draining := ready("a", "b")
 	draining[1].State = Draining
-	assert.Equal(t, map[string]What{"b": Drains}, changes(d.Replace(draining, at(1))))
+	assert.Equal(t, map[string]ChangeKind{"b": Drains}, changes(d.Replace(draining, at(1))))
 	assert.Empty(t, d.Replace(draining, at(2)))
-	assert.Equal(t, map[string]What{"b": Left}, changes(d.Replace(ready("a"), at(3))))
+	assert.Equal(t, map[string]ChangeKind{"b": Left}, changes(d.Replace(ready("a"), at(3))))
 	assert.Empty(t, d.Replace(ready("a", "b"), at(2)), "an older read says nothing")
 	assert.Len(t, d.List(), 1)
 }
@@ -44,21 +44,21 @@
 func TestReplicasThatVanishInAnOutageKeepTheirWorkForAWhile(t *testing.T) {
 	d := New(3*time.Second, 2*time.Second)
 	d.Replace(ready("a", "b"), at(0))
-	assert.Equal(t, map[string]What{"a": Unconfirmed, "b": Unconfirmed}, changes(d.Replace(nil, at(10))))
+	assert.Equal(t, map[string]ChangeKind{"a": Unconfirmed, "b": Unconfirmed}, changes(d.Replace(nil, at(10))))
 	assert.Len(t, d.List(), 2)
 	assert.Empty(t, d.Listed(), "what is doubted is not passed on")
 	empty := d.Mark(WithStarts)
-	assert.Equal(t, map[string]What{"a": Back}, changes(d.Replace(ready("a"), at(11))), "a change, since it changes the mark")
+	assert.Equal(t, map[string]ChangeKind{"a": Back}, changes(d.Replace(ready("a"), at(11))), "a change, since it changes the mark")
 	assert.NotEqual(t, empty, d.Mark(WithStarts))
-	assert.Equal(t, map[string]What{"b": Left}, changes(d.Replace(ready("a"), at(12.5))))
-	assert.Equal(t, map[string]What{"a": Left}, changes(d.Replace(nil, at(13))), "the outage is over")
+	assert.Equal(t, map[string]ChangeKind{"b": Left}, changes(d.Replace(ready("a"), at(12.5))))
+	assert.Equal(t, map[string]ChangeKind{"a": Left}, changes(d.Replace(nil, at(13))), "the outage is over")
 }
 
 func TestAnAddressThatAnotherReplicaHasIsNotDoubtedButGone(t *testing.T) {
 	d := New(3*time.Second, 2*time.Second)
 	d.Replace(ready("a"), at(0))
 	other := Replica{ID: "new", Service: "t", Address: "a:1"}
-	assert.Equal(t, map[string]What{"a": Left, "new": Joined}, changes(d.Replace([]Replica{other}, at(10))))
+	assert.Equal(t, map[string]ChangeKind{"a": Left, "new": Joined}, changes(d.Replace([]Replica{other}, at(10))))
 }
 
 func TestConfirmCountsAsARead(t *testing.T) {
@@ -67,7 +67,7 @@
 	assert.Empty(t, d.Confirm(at(2)))
 	assert.Empty(t, d.Confirm(at(4)))
 	assert.Equal(t, at(4), d.Read())
-	assert.Equal(t, map[string]What{"a": Left}, changes(d.Replace(nil, at(6))), "there was no outage")
+	assert.Equal(t, map[string]ChangeKind{"a": Left}, changes(d.Replace(nil, at(6))), "there was no outage")
 }
 
 func TestMarkNamesTheContent(t *testing.T) {
@@ -83,10 +83,10 @@
 func TestAServiceThatVanishesAtOnceIsDoubtedWithoutAnOutage(t *testing.T) {
 	d := New(3*time.Second, 2*time.Second)
 	d.Replace(ready("a", "b", "c", "d", "e"), at(0))
-	assert.Equal(t, map[string]What{"a": Left, "b": Left}, changes(d.Replace(ready("c", "d", "e"), at(1))), "two of five may leave")
-	assert.Equal(t, map[string]What{"c": Unconfirmed, "d": Unconfirmed}, changes(d.Replace(ready("e"), at(2))))
-	assert.Equal(t, map[string]What{"c": Back}, changes(d.Replace(ready("c", "e"), at(3))))
-	assert.Equal(t, map[string]What{"d": Left}, changes(d.Replace(ready("c", "e"), at(4))))
+	assert.Equal(t, map[string]ChangeKind{"a": Left, "b": Left}, changes(d.Replace(ready("c", "d", "e"), at(1))), "two of five may leave")
+	assert.Equal(t, map[string]ChangeKind{"c": Unconfirmed, "d": Unconfirmed}, changes(d.Replace(ready("e"), at(2))))
+	assert.Equal(t, map[string]ChangeKind{"c": Back}, changes(d.Replace(ready("c", "e"), at(3))))
+	assert.Equal(t, map[string]ChangeKind{"d": Left}, changes(d.Replace(ready("c", "e"), at(4))))
 }
 
 // A router whose reads came late took replicas that had drained and left meanwhile for
@@ -96,11 +96,11 @@
 	d := New(3*time.Second, 2*time.Second)
 	ids := []string{"a", "b", "c", "d", "e", "f", "g"}
 	d.Replace(ready(ids...), at(0))
-	assert.Equal(t, map[string]What{"a": Left, "b": Left}, changes(d.Replace(ready(ids[2:]...), at(10))), "two of seven")
-	assert.Equal(t, map[string]What{"c": Unconfirmed, "d": Unconfirmed}, changes(d.Replace(ready(ids[4:]...), at(20))), "two of five")
+	assert.Equal(t, map[string]ChangeKind{"a": Left, "b": Left}, changes(d.Replace(ready(ids[2:]...), at(10))), "two of seven")
+	assert.Equal(t, map[string]ChangeKind{"c": Unconfirmed, "d": Unconfirmed}, changes(d.Replace(ready(ids[4:]...), at(20))), "two of five")
 	alone := New(3*time.Second, 2*time.Second)
 	alone.Replace(ready("a"), at(0))
-	assert.Equal(t, map[string]What{"a": Unconfirmed}, changes(alone.Replace(nil, at(10))), "all there were")
+	assert.Equal(t, map[string]ChangeKind{"a": Unconfirmed}, changes(alone.Replace(nil, at(10))), "all there were")
 }
 
 // Whether a replica may have said long ago that it leaves goes by when it was listed
@@ -129,7 +129,7 @@
 	assert.Empty(t, d.MarkDraining("a"))
 	changes := d.MarkDraining("b")
 	if assert.Len(t, changes, 1) {
-		assert.Equal(t, Closes, changes[0].What)
+		assert.Equal(t, Closes, changes[0].Kind)
 	}
 	assert.Empty(t, d.MarkDraining("b"))
 	assert.Equal(t, []bool{true, false, true}, []bool{d.Ready("a"), d.Ready("b"), d.Ready("c")})
--- a/pkg/directory/listing.go
+++ b/pkg/directory/listing.go
@@ -16,23 +16,23 @@
 
 // The changes.
 const (
-	Joined      What = "joined"
-	Drains      What = "draining"
-	Left        What = "gone"
-	Unconfirmed What = "missing from a list that may be incomplete"
-	Back        What = "listed again"
+	Joined      ChangeKind = "joined"
+	Drains      ChangeKind = "draining"
+	Left        ChangeKind = "gone"
+	Unconfirmed ChangeKind = "missing from a list that may be incomplete"
+	Back        ChangeKind = "listed again"
 	// Closes: unconfirmed, it closed its connection as one that leaves does.
-	Closes What = "closes its connections"
-	Cooled What = "cold"
-	Warmed What = "warm"
+	Closes ChangeKind = "closes its connections"
+	Cooled ChangeKind = "cold"
+	Warmed ChangeKind = "warm"
 	// Restarted: it started again under its id, and holds and knows nothing of before.
-	Restarted What = "started again"
+	Restarted ChangeKind = "started again"
 	// Spoilt and Usable: its entry is another writer's, and its own again.
-	Spoilt What = "entry spoilt"
-	Usable What = "entry usable again"
+	Spoilt ChangeKind = "entry spoilt"
+	Usable ChangeKind = "entry usable again"
 	// Evacuated and Returned are of a data centre.
-	Evacuated What = "evacuated"
-	Returned  What = "taken back"
+	Evacuated ChangeKind = "evacuated"
+	Returned  ChangeKind = "taken back"
 )
 
 // Listing returns what the last read listed, to be passed on.
--- a/pkg/directory/restart_test.go
+++ b/pkg/directory/restart_test.go
@@ -19,32 +19,32 @@
 	}
 	tests := map[string]struct {
 		entries []Replica
-		want    []What
+		want    []ChangeKind
 	}{
-		"a later start":                        {[]Replica{entry(1000, 0, Ready), entry(1000, 0, Ready), entry(2000, 0, Ready)}, []What{Joined, "", Restarted}},
-		"an older start that comes late":       {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(2000, 0, Ready)}, []What{Joined, "", ""}},
-		"its clock was set back":               {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready)}, []What{Joined, "", "", "", Restarted}},
-		"an older start that leaves":           {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Draining)}, []What{Joined, Drains}},
-		"an older start that left, late":       {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Draining), entry(2000, 0, Ready)}, []What{Joined, Drains, Back}},
-		"set back, and leaves":                 {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Draining)}, []What{Joined, "", Drains}},
-		"it says from now on when it started":  {[]Replica{entry(0, 5, Ready), entry(1000, 6, Ready)}, []What{Joined, ""}},
-		"counts that start anew":               {[]Replica{entry(0, 5, Ready), entry(0, 1, Ready), entry(0, 2, Ready)}, []What{Joined, Restarted, ""}},
-		"counts that start anew, told by none": {[]Replica{entry(0, 5, Ready), entry(0, 0, Ready), entry(0, 1, Ready)}, []What{Joined, "", Restarted}},
-		"the start decides before the counts":  {[]Replica{entry(1000, 5, Ready), entry(1000, 1, Ready)}, []What{Joined, ""}},
-		"spoilt and written again":             {[]Replica{entry(1000, 5, Ready), entry(0, 0, Unusable), entry(0, 0, Unusable), entry(1000, 6, Ready)}, []What{Joined, Spoilt, "", Usable}},
-		"started again behind a spoilt entry":  {[]Replica{entry(1000, 5, Ready), entry(0, 0, Unusable), entry(2000, 1, Ready)}, []What{Joined, Spoilt, Restarted}},
-		"spoilt from the first":                {[]Replica{entry(0, 0, Unusable), entry(1000, 1, Ready)}, []What{Spoilt, Usable}},
-		"draining again after a restart":       {[]Replica{entry(1000, 1, Draining), entry(2000, 1, Ready), entry(2000, 2, Draining)}, []What{Joined, Restarted, Drains}},
+		"a later start":                        {[]Replica{entry(1000, 0, Ready), entry(1000, 0, Ready), entry(2000, 0, Ready)}, []ChangeKind{Joined, "", Restarted}},
+		"an older start that comes late":       {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(2000, 0, Ready)}, []ChangeKind{Joined, "", ""}},
+		"its clock was set back":               {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready)}, []ChangeKind{Joined, "", "", "", Restarted}},
+		"an older start that leaves":           {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Draining)}, []ChangeKind{Joined, Drains}},
+		"an older start that left, late":       {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Draining), entry(2000, 0, Ready)}, []ChangeKind{Joined, Drains, Back}},
+		"set back, and leaves":                 {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Draining)}, []ChangeKind{Joined, "", Drains}},
+		"it says from now on when it started":  {[]Replica{entry(0, 5, Ready), entry(1000, 6, Ready)}, []ChangeKind{Joined, ""}},
+		"counts that start anew":               {[]Replica{entry(0, 5, Ready), entry(0, 1, Ready), entry(0, 2, Ready)}, []ChangeKind{Joined, Restarted, ""}},
+		"counts that start anew, told by none": {[]Replica{entry(0, 5, Ready), entry(0, 0, Ready), entry(0, 1, Ready)}, []ChangeKind{Joined, "", Restarted}},
+		"the start decides before the counts":  {[]Replica{entry(1000, 5, Ready), entry(1000, 1, Ready)}, []ChangeKind{Joined, ""}},
+		"spoilt and written again":             {[]Replica{entry(1000, 5, Ready), entry(0, 0, Unusable), entry(0, 0, Unusable), entry(1000, 6, Ready)}, []ChangeKind{Joined, Spoilt, "", Usable}},
+		"started again behind a spoilt entry":  {[]Replica{entry(1000, 5, Ready), entry(0, 0, Unusable), entry(2000, 1, Ready)}, []ChangeKind{Joined, Spoilt, Restarted}},
+		"spoilt from the first":                {[]Replica{entry(0, 0, Unusable), entry(1000, 1, Ready)}, []ChangeKind{Spoilt, Usable}},
+		"draining again after a restart":       {[]Replica{entry(1000, 1, Draining), entry(2000, 1, Ready), entry(2000, 2, Draining)}, []ChangeKind{Joined, Restarted, Drains}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			d := New(time.Hour, grace)
 			begin := time.Now()
-			var got []What
+			var got []ChangeKind
 			for n, r := range test.entries {
-				what := What("")
+				what := ChangeKind("")
 				for _, c := range d.Replace([]Replica{r}, begin.Add(time.Duration(n)*time.Second)) {
-					what = c.What
+					what = c.Kind
 				}
 				got = append(got, what)
 
--- a/pkg/directory/rewind_test.go
+++ b/pkg/directory/rewind_test.go
@@ -107,7 +107,7 @@
 	d.Rewind(at(1), d.Hold())
 	assert.Empty(t, d.Replace(counted(40), at(1)))
 	assert.Empty(t, d.Replace(counted(51), at(2)), "it has written again")
-	assert.Equal(t, map[string]What{"a": Restarted}, changes(d.Replace(counted(3), at(6))))
+	assert.Equal(t, map[string]ChangeKind{"a": Restarted}, changes(d.Replace(counted(3), at(6))))
 }
 
 func TestACopyOfBeforeItTurnedColdDoesNotWarm(t *testing.T) {
@@ -204,5 +204,5 @@
 
 func TestADrainThatIsTakenBackIsAChange(t *testing.T) {
 	d := newRewound(with(ready("a"), "a", drains))
-	assert.Equal(t, map[string]What{"a": Back}, changes(d.Replace(ready("a"), at(1))))
+	assert.Equal(t, map[string]ChangeKind{"a": Back}, changes(d.Replace(ready("a"), at(1))))
 }
--- a/pkg/directory/unconfirmed.go
+++ b/pkg/directory/unconfirmed.go
@@ -43,14 +43,14 @@
 	fact, _ := d.fact(&e.replica)
 	if e.unconfirmedSince.IsZero() && lost && !fact.Gone && e.replica.State == Ready && !d.addressTaken(id, e.replica.Address) {
 		e.unconfirmedSince = d.read
-		return append(changes, Change{Replica: e.replica, What: Unconfirmed})
+		return append(changes, Change{Replica: e.replica, Kind: Unconfirmed})
 	}
 	if !e.unconfirmedSince.IsZero() && d.read.Sub(e.unconfirmedSince) < d.grace {
 		return changes
 	}
 	delete(d.entries, id)
 	d.noteDeparted(&e.replica)
-	return append(changes, Change{Replica: e.replica, What: Left})
+	return append(changes, Change{Replica: e.replica, Kind: Left})
 }
 
 // MarkDraining removes an unconfirmed replica that closed its connection, as one that
@@ -62,7 +62,7 @@
 	}
 	delete(d.entries, id)
 	d.noteDeparted(&e.replica)
-	return []Change{{Replica: e.replica, What: Closes}}
+	return []Change{{Replica: e.replica, Kind: Closes}}
 }
 
 // UnconfirmedSince returns when the first read was sent that did not list an unconfirmed
--- a/pkg/directory/warmth.go
+++ b/pkg/directory/warmth.go
@@ -17,7 +17,7 @@
 // warmth carries over until when a replica is cold, or takes it from an entry that
 // has changed, and tells what changed for those who send: nothing if an entry only
 // counts down.
-func (d *Directory) warmth(r *Replica, old Replica) What {
+func (d *Directory) warmth(r *Replica, old Replica) ChangeKind {
 	r.ColdUntil = old.ColdUntil
 	if r.Entry == old.Entry && r.Cold == old.Cold {
 		return ""
@@ -46,13 +46,13 @@
 	var changes []Change
 	for _, centre := range now {
 		if !slices.Contains(d.evacuated, centre) {
-			changes = append(changes, Change{Centre: centre, What: Evacuated})
+			changes = append(changes, Change{DataCentre: centre, Kind: Evacuated})
 		}
 	}
 	for _, centre := range d.evacuated {
 		if !slices.Contains(now, centre) {
 			d.assumeCold(centre)
-			changes = append(changes, Change{Centre: centre, What: Returned})
+			changes = append(changes, Change{DataCentre: centre, Kind: Returned})
 		}
 	}
 	d.evacuated = now
--- a/pkg/directory/warmth_test.go
+++ b/pkg/directory/warmth_test.go
@@ -28,15 +28,15 @@
 	const second = time.Second
 	for name, c := range map[string]struct {
 		reads []Replica
-		what  []What
+		what  []ChangeKind
 		until []float64
 	}{
-		"the entry stays as it is":       {[]Replica{cold("a", 1, 3*second), cold("a", 1, 3*second)}, []What{Joined, ""}, []float64{3, 3}},
-		"the entry counts down":          {[]Replica{cold("a", 1, 3*second), cold("a", 2, 1900*time.Millisecond)}, []What{Joined, ""}, []float64{3, 3}},
-		"the entry says that it is warm": {[]Replica{cold("a", 1, 3*second), cold("a", 2, 0)}, []What{Joined, Warmed}, []float64{3, 0}},
-		"a warm one turns cold":          {[]Replica{cold("a", 1, 0), cold("a", 2, 3*second)}, []What{Joined, Cooled}, []float64{0, 4}},
-		"a cold one turns cold again":    {[]Replica{cold("a", 1, 2*second), cold("a", 2, 3*second)}, []What{Joined, Cooled}, []float64{2, 4}},
-		"it drains and is warm":          {[]Replica{cold("a", 1, 3*second), {ID: "a", State: Draining, Entry: 2}}, []What{Joined, Drains}, []float64{3, 0}},
+		"the entry stays as it is":       {[]Replica{cold("a", 1, 3*second), cold("a", 1, 3*second)}, []ChangeKind{Joined, ""}, []float64{3, 3}},
+		"the entry counts down":          {[]Replica{cold("a", 1, 3*second), cold("a", 2, 1900*time.Millisecond)}, []ChangeKind{Joined, ""}, []float64{3, 3}},
+		"the entry says that it is warm": {[]Replica{cold("a", 1, 3*second), cold("a", 2, 0)}, []ChangeKind{Joined, Warmed}, []float64{3, 0}},
+		"a warm one turns cold":          {[]Replica{cold("a", 1, 0), cold("a", 2, 3*second)}, []ChangeKind{Joined, Cooled}, []float64{0, 4}},
+		"a cold one turns cold again":    {[]Replica{cold("a", 1, 2*second), cold("a", 2, 3*second)}, []ChangeKind{Joined, Cooled}, []float64{2, 4}},
+		"it drains and is warm":          {[]Replica{cold("a", 1, 3*second), {ID: "a", State: Draining, Entry: 2}}, []ChangeKind{Joined, Drains}, []float64{3, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := New(9*second, 2*second)
@@ -81,11 +81,11 @@
 }
 
 func TestADataCentreIsEvacuatedAndTakenBack(t *testing.T) {
-	centres := func(list []Change) map[string]What {
-		out := make(map[string]What)
+	centres := func(list []Change) map[string]ChangeKind {
+		out := make(map[string]ChangeKind)
 		for _, c := range list {
-			if c.Centre != "" {
-				out[c.Centre] = c.What
+			if c.DataCentre != "" {
+				out[c.DataCentre] = c.Kind
 			}
 		}
 		return out
@@ -94,7 +94,7 @@
 	list := []Replica{cold("a", 1, 0), {ID: "b", Service: "s", DataCentre: "south"}}
 	d.Apply(Listing{Replicas: list}, at(0))
 	before := d.Mark(WithStarts)
-	assert.Equal(t, map[string]What{"north": Evacuated}, centres(d.Apply(Listing{list, []string{"north"}}, at(1))))
+	assert.Equal(t, map[string]ChangeKind{"north": Evacuated}, centres(d.Apply(Listing{list, []string{"north"}}, at(1))))
 	assert.NotEqual(t, before, d.Mark(WithStarts))
 	assert.True(t, d.List()[0].Evacuated)
 	assert.False(t, d.List()[1].Evacuated)
@@ -107,10 +107,10 @@
 	assert.True(t, d.List()[2].Evacuated, "one that joins there is evacuated as well")
 
 	other := New(9*time.Second, 2*time.Second)
-	assert.Equal(t, map[string]What{"north": Evacuated}, centres(other.Apply(passed(t, d.Listing()), at(3))))
+	assert.Equal(t, map[string]ChangeKind{"north": Evacuated}, centres(other.Apply(passed(t, d.Listing()), at(3))))
 	assert.Equal(t, d.Mark(WithStarts), other.Mark(WithStarts))
 
-	assert.Equal(t, map[string]What{"north": Returned}, centres(d.Apply(Listing{list, nil}, at(4))))
+	assert.Equal(t, map[string]ChangeKind{"north": Returned}, centres(d.Apply(Listing{list, nil}, at(4))))
 	assert.Equal(t, before, d.Mark(WithStarts))
 	assert.False(t, d.List()[0].Evacuated)
 }
