--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -171,7 +171,7 @@
 		d.statements.joined(&r, d.read, d.grace)
 		what := Joined
 		if r.State == Unusable {
-			what = Spoilt
+			what = EntryInvalidated
 		}
 		delete(d.departed, r.ID)
 		return append(changes, Change{Replica: r, Kind: what})
@@ -187,24 +187,24 @@
 		// When it started and how far it counted holds on, for its own next entry.
 		r.Born, r.Counted = old.replica.Born, old.replica.Counted
 		if what = ""; old.replica.State != Unusable {
-			what = Spoilt
+			what = EntryInvalidated
 		}
 	case d.restarted(&r, &old.replica):
 		what = Restarted
 		old.declared = d.declares(&r)
 		d.statements.listedStart(r.ID, d.read)
 	case r.State == Draining && old.replica.State != Draining:
-		what = Drains
+		what = DrainStarted
 	case old.replica.State == Unusable:
-		what = Usable
+		what = EntryUsableAgain
 	case r.State == Ready && old.replica.State == Draining:
-		what = Back
+		what = ListedAgain
 		if old.declared && !d.rewound(d.read) {
 			old.declared = false
 			d.statements.withdrawn(r.ID, d.read)
 		}
 	case !old.unconfirmedSince.IsZero():
-		what = Back
+		what = ListedAgain
 	}
 	if r.Counted == 0 || d.rewound(d.read) {
 		r.Counted = max(r.Counted, old.replica.Counted)
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -34,7 +34,7 @@
 	assert.Equal(t, map[string]ChangeKind{"a": Joined, "b": Joined}, changes(d.Replace(ready("a", "b"), at(0))))
 	draining := ready("a", "b")
 	draining[1].State = Draining
-	assert.Equal(t, map[string]ChangeKind{"b": Drains}, changes(d.Replace(draining, at(1))))
+	assert.Equal(t, map[string]ChangeKind{"b": DrainStarted}, changes(d.Replace(draining, at(1))))
 	assert.Empty(t, d.Replace(draining, at(2)))
 	assert.Equal(t, map[string]ChangeKind{"b": Left}, changes(d.Replace(ready("a"), at(3))))
 	assert.Empty(t, d.Replace(ready("a", "b"), at(2)), "an older read says nothing")
@@ -48,7 +48,7 @@
 	assert.Len(t, d.List(), 2)
 	assert.Empty(t, d.Listed(), "what is doubted is not passed on")
 	empty := d.Mark(WithStarts)
-	assert.Equal(t, map[string]ChangeKind{"a": Back}, changes(d.Replace(ready("a"), at(11))), "a change, since it changes the mark")
+	assert.Equal(t, map[string]ChangeKind{"a": ListedAgain}, changes(d.Replace(ready("a"), at(11))), "a change, since it changes the mark")
 	assert.NotEqual(t, empty, d.Mark(WithStarts))
 	assert.Equal(t, map[string]ChangeKind{"b": Left}, changes(d.Replace(ready("a"), at(12.5))))
 	assert.Equal(t, map[string]ChangeKind{"a": Left}, changes(d.Replace(nil, at(13))), "the outage is over")
@@ -85,7 +85,7 @@
 	d.Replace(ready("a", "b", "c", "d", "e"), at(0))
 	assert.Equal(t, map[string]ChangeKind{"a": Left, "b": Left}, changes(d.Replace(ready("c", "d", "e"), at(1))), "two of five may leave")
 	assert.Equal(t, map[string]ChangeKind{"c": Unconfirmed, "d": Unconfirmed}, changes(d.Replace(ready("e"), at(2))))
-	assert.Equal(t, map[string]ChangeKind{"c": Back}, changes(d.Replace(ready("c", "e"), at(3))))
+	assert.Equal(t, map[string]ChangeKind{"c": ListedAgain}, changes(d.Replace(ready("c", "e"), at(3))))
 	assert.Equal(t, map[string]ChangeKind{"d": Left}, changes(d.Replace(ready("c", "e"), at(4))))
 }
 
@@ -129,7 +129,7 @@
 	assert.Empty(t, d.MarkDraining("a"))
 	changes := d.MarkDraining("b")
 	if assert.Len(t, changes, 1) {
-		assert.Equal(t, Closes, changes[0].Kind)
+		assert.Equal(t, ConnectionsClosed, changes[0].Kind)
 	}
 	assert.Empty(t, d.MarkDraining("b"))
 	assert.Equal(t, []bool{true, false, true}, []bool{d.Ready("a"), d.Ready("b"), d.Ready("c")})
--- a/pkg/directory/listing.go
+++ b/pkg/directory/listing.go
@@ -16,23 +16,23 @@
 
 // The changes.
 const (
-	Joined      ChangeKind = "joined"
-	Drains      ChangeKind = "draining"
-	Left        ChangeKind = "gone"
-	Unconfirmed ChangeKind = "missing from a list that may be incomplete"
-	Back        ChangeKind = "listed again"
-	// Closes: unconfirmed, it closed its connection as one that leaves does.
-	Closes ChangeKind = "closes its connections"
-	Cooled ChangeKind = "cold"
-	Warmed ChangeKind = "warm"
+	Joined       ChangeKind = "joined"
+	DrainStarted ChangeKind = "draining"
+	Left         ChangeKind = "gone"
+	Unconfirmed  ChangeKind = "missing from a list that may be incomplete"
+	ListedAgain  ChangeKind = "listed again"
+	// ConnectionsClosed: unconfirmed, it closed its connection as one that leaves does.
+	ConnectionsClosed ChangeKind = "closes its connections"
+	TurnedCold        ChangeKind = "cold"
+	TurnedWarm        ChangeKind = "warm"
 	// Restarted: it started again under its id, and holds and knows nothing of before.
 	Restarted ChangeKind = "started again"
-	// Spoilt and Usable: its entry is another writer's, and its own again.
-	Spoilt ChangeKind = "entry spoilt"
-	Usable ChangeKind = "entry usable again"
+	// EntryInvalidated and Usable: its entry is another writer's, and its own again.
+	EntryInvalidated ChangeKind = "entry spoilt"
+	EntryUsableAgain ChangeKind = "entry usable again"
 	// Evacuated and Returned are of a data centre.
-	Evacuated ChangeKind = "evacuated"
-	Returned  ChangeKind = "taken back"
+	Evacuated       ChangeKind = "evacuated"
+	EvacuationEnded ChangeKind = "taken back"
 )
 
 // Listing returns what the last read listed, to be passed on.
--- a/pkg/directory/rewind_test.go
+++ b/pkg/directory/rewind_test.go
@@ -204,5 +204,5 @@
 
 func TestADrainThatIsTakenBackIsAChange(t *testing.T) {
 	d := newRewound(with(ready("a"), "a", drains))
-	assert.Equal(t, map[string]ChangeKind{"a": Back}, changes(d.Replace(ready("a"), at(1))))
+	assert.Equal(t, map[string]ChangeKind{"a": ListedAgain}, changes(d.Replace(ready("a"), at(1))))
 }
--- a/pkg/directory/unconfirmed.go
+++ b/pkg/directory/unconfirmed.go
@@ -62,7 +62,7 @@
 	}
 	delete(d.entries, id)
 	d.noteDeparted(&e.replica)
-	return []Change{{Replica: e.replica, Kind: Closes}}
+	return []Change{{Replica: e.replica, Kind: ConnectionsClosed}}
 }
 
 // UnconfirmedSince returns when the first read was sent that did not list an unconfirmed
--- a/pkg/directory/warmth.go
+++ b/pkg/directory/warmth.go
@@ -26,13 +26,13 @@
 	switch {
 	case r.Cold && until.After(old.ColdUntil):
 		r.ColdUntil = until
-		return Cooled
+		return TurnedCold
 	case !r.Cold && d.rewound(d.read):
 		// A copy may be of before it turned cold.
 		return ""
 	case !r.Cold && (old.Cold || !old.ColdUntil.IsZero()):
 		r.ColdUntil = until
-		return Warmed
+		return TurnedWarm
 	}
 	return ""
 }
@@ -52,7 +52,7 @@
 	for _, centre := range d.evacuated {
 		if !slices.Contains(now, centre) {
 			d.assumeCold(centre)
-			changes = append(changes, Change{DataCentre: centre, Kind: Returned})
+			changes = append(changes, Change{DataCentre: centre, Kind: EvacuationEnded})
 		}
 	}
 	d.evacuated = now
--- a/pkg/directory/warmth_test.go
+++ b/pkg/directory/warmth_test.go
@@ -33,10 +33,10 @@
 	}{
 		"the entry stays as it is":       {[]Replica{cold("a", 1, 3*second), cold("a", 1, 3*second)}, []ChangeKind{Joined, ""}, []float64{3, 3}},
 		"the entry counts down":          {[]Replica{cold("a", 1, 3*second), cold("a", 2, 1900*time.Millisecond)}, []ChangeKind{Joined, ""}, []float64{3, 3}},
-		"the entry says that it is warm": {[]Replica{cold("a", 1, 3*second), cold("a", 2, 0)}, []ChangeKind{Joined, Warmed}, []float64{3, 0}},
-		"a warm one turns cold":          {[]Replica{cold("a", 1, 0), cold("a", 2, 3*second)}, []ChangeKind{Joined, Cooled}, []float64{0, 4}},
-		"a cold one turns cold again":    {[]Replica{cold("a", 1, 2*second), cold("a", 2, 3*second)}, []ChangeKind{Joined, Cooled}, []float64{2, 4}},
-		"it drains and is warm":          {[]Replica{cold("a", 1, 3*second), {ID: "a", State: Draining, Entry: 2}}, []ChangeKind{Joined, Drains}, []float64{3, 0}},
+		"the entry says that it is warm": {[]Replica{cold("a", 1, 3*second), cold("a", 2, 0)}, []ChangeKind{Joined, TurnedWarm}, []float64{3, 0}},
+		"a warm one turns cold":          {[]Replica{cold("a", 1, 0), cold("a", 2, 3*second)}, []ChangeKind{Joined, TurnedCold}, []float64{0, 4}},
+		"a cold one turns cold again":    {[]Replica{cold("a", 1, 2*second), cold("a", 2, 3*second)}, []ChangeKind{Joined, TurnedCold}, []float64{2, 4}},
+		"it drains and is warm":          {[]Replica{cold("a", 1, 3*second), {ID: "a", State: Draining, Entry: 2}}, []ChangeKind{Joined, DrainStarted}, []float64{3, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := New(9*second, 2*second)
@@ -110,7 +110,7 @@
 	assert.Equal(t, map[string]ChangeKind{"north": Evacuated}, centres(other.Apply(passed(t, d.Listing()), at(3))))
 	assert.Equal(t, d.Mark(WithStarts), other.Mark(WithStarts))
 
-	assert.Equal(t, map[string]ChangeKind{"north": Returned}, centres(d.Apply(Listing{list, nil}, at(4))))
+	assert.Equal(t, map[string]ChangeKind{"north": EvacuationEnded}, centres(d.Apply(Listing{list, nil}, at(4))))
 	assert.Equal(t, before, d.Mark(WithStarts))
 	assert.False(t, d.List()[0].Evacuated)
 }
