--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -91,7 +91,7 @@
 	read := time.Now().Add(-time.Minute)
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a")}, read)
 	word := r.watcher.Digest()
-	version, mark := word.Version, word.Mark
+	version, mark := word.Version, word.ListHash
 	now, proofMs := time.Now(), uint32(0)
 	told := &gossippb.Digest{Sender: "127.0.0.1:9", DataCentre: "there", Version: version, Mark: mark, ProofMs: &proofMs}
 	r.gossip.takeTold(told, now)
@@ -130,7 +130,7 @@
 			r.gossip.SetHoldersKnown()
 			now := time.Now()
 			r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a")}, now.Add(-time.Minute))
-			mark := r.watcher.Digest().Mark
+			mark := r.watcher.Digest().ListHash
 			if name == "another list that is older" || name == "another list that is newer" {
 				mark++
 			}
--- a/internal/gossip/excerpt_test.go
+++ b/internal/gossip/excerpt_test.go
@@ -29,8 +29,8 @@
 	teacher.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: after}, read.Add(time.Second))
 	sent, received := learner.gossip.Bytes()
 	learner.gossip.learn(t.Context(), teacher.gossip.Address())
-	mark := teacher.watcher.Digest().Mark
-	learned := learner.watcher.Digest().Mark
+	mark := teacher.watcher.Digest().ListHash
+	learned := learner.watcher.Digest().ListHash
 	require.Equal(t, mark, learned)
 	sentNow, receivedNow := learner.gossip.Bytes()
 	assert.Less(t, sentNow-sent+receivedNow-received, uint64(mostBytes))
@@ -41,11 +41,11 @@
 func TestAnExcerptOfOtherPartsIsRefused(t *testing.T) {
 	text, err := pack(directory.Listing{})
 	require.NoError(t, err)
-	have := watch.Have{Mark: 7, Sums: make([]uint32, 16)}
+	have := watch.Have{ListHash: 7, Sums: make([]uint32, 16)}
 	k, err := decodeKnowledge(&gossippb.KnowledgeReply{Replicas: text, Parts: 16, Differ: []uint32{3}}, have)
 	require.NoError(t, err)
 	assert.Equal(t, &directory.Excerpt{Parts: 16, Differ: []uint32{3}}, k.Excerpt)
-	assert.EqualValues(t, 7, k.From)
+	assert.EqualValues(t, 7, k.BaseHash)
 	_, err = decodeKnowledge(&gossippb.KnowledgeReply{Replicas: text, Parts: 32}, have)
 	assert.ErrorIs(t, err, ErrMalformed)
 }
--- a/internal/gossip/life_test.go
+++ b/internal/gossip/life_test.go
@@ -77,18 +77,18 @@
 	}
 	require.NoError(t, r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list}, steady.Now()))
 	word, plain := r.watcher.Digest(), r.watcher.PlainMark()
-	require.NotEqual(t, word.Mark, plain)
+	require.NotEqual(t, word.ListHash, plain)
 	told := uint32(1)
 	for _, step := range []struct {
 		mark, want uint64
 		plain      int
-	}{{word.Mark, word.Mark, 0}, {plain, plain, 1}, {7, plain, 1}, {word.Mark, word.Mark, 0}} {
+	}{{word.ListHash, word.ListHash, 0}, {plain, plain, 1}, {7, plain, 1}, {word.ListHash, word.ListHash, 0}} {
 		d := &gossippb.Digest{Sender: "127.0.0.9:9", Version: 4, Mark: step.mark, ProofMs: &told}
 		answer, err := r.gossip.Exchange(t.Context(), d)
 		require.NoError(t, err)
 		assert.Equal(t, step.want, answer.Mark, "after %d", step.mark)
 		assert.Equal(t, step.plain, r.gossip.OlderFormatPeers())
-		assert.False(t, r.watcher.ApplyPeerProof(watch.Digest{Version: 4, Mark: plain}, steady.Now()), "both name the same list")
+		assert.False(t, r.watcher.ApplyPeerProof(watch.Digest{Version: 4, ListHash: plain}, steady.Now()), "both name the same list")
 	}
 	reply, err := r.gossip.Knowledge(t.Context(), &gossippb.KnowledgeRequest{Version: 4, Mark: plain})
 	require.NoError(t, err)
--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -59,9 +59,9 @@
 	}
 	word, age := g.knows(now)
 	if g.plain[d.Sender] {
-		word.Mark = g.watcher.PlainMark()
+		word.ListHash = g.watcher.PlainMark()
 	}
-	reply.Version, reply.Mark, reply.Generation, reply.Facts, reply.ProofMs = word.Version, word.Mark, word.Generation, word.Facts, age
+	reply.Version, reply.Mark, reply.Generation, reply.Facts, reply.ProofMs = word.Version, word.ListHash, word.Generation, word.Facts, age
 	return reply
 }
 
@@ -82,7 +82,7 @@
 		d.ReadFailedMs = &milliseconds
 	}
 	word, age := g.knows(now)
-	d.Version, d.Mark, d.Generation, d.Facts, d.ProofMs = word.Version, word.Mark, word.Generation, word.Facts, age
+	d.Version, d.Mark, d.Generation, d.Facts, d.ProofMs = word.Version, word.ListHash, word.Generation, word.Facts, age
 }
 
 // wordOf is what a digest or an answer says that its sender knows.
@@ -92,7 +92,7 @@
 	GetGeneration() uint64
 	GetFacts() uint32
 }) watch.Digest {
-	return watch.Digest{Version: m.GetVersion(), Mark: m.GetMark(), Generation: m.GetGeneration(), Facts: m.GetFacts()}
+	return watch.Digest{Version: m.GetVersion(), ListHash: m.GetMark(), Generation: m.GetGeneration(), Facts: m.GetFacts()}
 }
 
 // merge takes what a router tells of itself or of its line.
@@ -140,9 +140,9 @@
 	if !g.watcher.Known() {
 		return &gossippb.KnowledgeReply{}, nil
 	}
-	k, age := g.watcher.Knowledge(watch.Have{Version: r.Version, Mark: r.Mark, Facts: r.Facts, Sums: r.Sums}, steady.Now())
+	k, age := g.watcher.Knowledge(watch.Have{Version: r.Version, ListHash: r.Mark, Facts: r.Facts, Sums: r.Sums}, steady.Now())
 	milliseconds := uint32(age.Milliseconds()) + 1
-	reply := &gossippb.KnowledgeReply{Version: k.Version, Mark: k.Mark, Generation: k.Generation, ProofMs: &milliseconds}
+	reply := &gossippb.KnowledgeReply{Version: k.Version, Mark: k.ListHash, Generation: k.Generation, ProofMs: &milliseconds}
 	reply.GenerationAgeMs = uint32(min(k.GenerationAge, maxGenerationAge).Milliseconds())
 	if err := g.encodeKnowledge(reply, k); err != nil {
 		return nil, err
@@ -176,7 +176,7 @@
 		reply.Parts, reply.Differ = uint32(k.Excerpt.Parts), k.Excerpt.Differ
 		reply.Replicas, err = pack(&k.Excerpt.Listing)
 	case k.Listing != nil:
-		reply.Replicas, err = packOnce(&g.listing, listKey{k.Mark, k.ListRead}, k.Listing)
+		reply.Replicas, err = packOnce(&g.listing, listKey{k.ListHash, k.ListRead}, k.Listing)
 	}
 	return err
 }
--- a/internal/gossip/woke_test.go
+++ b/internal/gossip/woke_test.go
@@ -30,7 +30,7 @@
 	asked := steady.Now()
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a")}, asked.Add(-time.Minute))
 	word := r.watcher.Digest()
-	version, mark := word.Version, word.Mark
+	version, mark := word.Version, word.ListHash
 	defer steady.Pretend(10 * time.Second)()
 	age := uint32(1)
 	r.gossip.takeFreshness("127.0.0.2:1", &gossippb.Freshness{Version: version, Mark: mark, ProofMs: &age}, asked, steady.Now())
--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -48,7 +48,7 @@
 		return
 	}
 	w.balancer.SetReplicas(w.directory.List(), w.directory.Read())
-	w.mark, w.plainMark = w.directory.Mark(directory.WithStarts), w.directory.Mark(directory.Plain)
+	w.mark, w.plainMark = w.directory.Hash(directory.WithStarts), w.directory.Hash(directory.Plain)
 	w.notifyUpdate()
 	for _, c := range changes {
 		switch c.Kind {
--- a/internal/watch/generation.go
+++ b/internal/watch/generation.go
@@ -46,8 +46,8 @@
 // Digest summarises what a router knows, without proof.
 type Digest struct {
 	Version uint64
-	// Mark names the list of replicas by its content.
-	Mark uint64
+	// ListHash names the list of replicas by its content.
+	ListHash uint64
 	// Generation is the source's, 0 if it tells none.
 	Generation uint64
 	// Facts names what is held against a copy, 0 for nothing.
@@ -63,7 +63,7 @@
 
 // digest is Digest with w.mu held.
 func (w *Watcher) digest() Digest {
-	d := Digest{Mark: w.mark, Generation: w.life.generation, Facts: w.directory.FactsSum(steady.Now())}
+	d := Digest{ListHash: w.mark, Generation: w.life.generation, Facts: w.directory.FactsSum(steady.Now())}
 	if table := w.holder.Current().Table; table != nil {
 		d.Version = table.Version()
 	}
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -11,15 +11,15 @@
 // Knowledge is what one router can pass on to another.
 type Knowledge struct {
 	Version uint64
-	// Mark names the list of replicas by its content.
-	Mark uint64
+	// ListHash names the list of replicas by its content.
+	ListHash uint64
 	// Config is nil where the other has the same, and so are Listing and Excerpt, of
 	// which one is sent otherwise.
 	Config  *route.Config
 	Listing *directory.Listing
 	// Excerpt is what the other's list lacks that has the mark From.
-	Excerpt *directory.Excerpt
-	From    uint64
+	Excerpt  *directory.Excerpt
+	BaseHash uint64
 	// ListRead is when the list was read last that Listing is, by this router's clock.
 	ListRead time.Time
 	// Generation is the source's, and GenerationAge for how long it has been known: who
@@ -33,7 +33,7 @@
 
 // Have is what a router has that asks another one for its knowledge.
 type Have struct {
-	Version, Mark uint64
+	Version, ListHash uint64
 	// Facts names what it holds against a copy.
 	Facts uint32
 	// Sums are of the parts of its list; without them it takes the whole one.
@@ -45,7 +45,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	digest := w.digest()
-	have := Have{Version: digest.Version, Mark: digest.Mark, Facts: digest.Facts}
+	have := Have{Version: digest.Version, ListHash: digest.ListHash, Facts: digest.Facts}
 	if !w.whole && !w.directory.Read().IsZero() {
 		have.Sums = w.directory.Sums(directory.WithStarts)
 	}
@@ -68,7 +68,7 @@
 		return true
 	case w.isPastGeneration(d.Generation) || d.Version < held.Table.Version():
 		return false
-	case !w.isMark(d.Mark):
+	case !w.isMark(d.ListHash):
 		return proven.After(w.directory.Read())
 	}
 	own := held.Seen
@@ -98,7 +98,7 @@
 	if w.isPastGeneration(d.Generation) || d.Version < held.Table.Version() {
 		return false
 	}
-	if !w.isMark(d.Mark) {
+	if !w.isMark(d.ListHash) {
 		return proven.After(w.directory.Read())
 	}
 	// A list that was read alone may be newer than the proof; the configuration is
@@ -125,10 +125,10 @@
 	}
 	switch {
 	case k.Listing != nil:
-		w.applyListing(*k.Listing, k.Mark, proven)
-	case k.Excerpt != nil && k.From == w.mark:
-		w.applyListing(w.directory.With(*k.Excerpt), k.Mark, proven)
-	case k.Excerpt == nil && w.isMark(k.Mark):
+		w.applyListing(*k.Listing, k.ListHash, proven)
+	case k.Excerpt != nil && k.BaseHash == w.mark:
+		w.applyListing(w.directory.With(*k.Excerpt), k.ListHash, proven)
+	case k.Excerpt == nil && w.isMark(k.ListHash):
 		w.handleChanges(w.directory.Confirm(proven))
 	default:
 		// The list has changed here since it was asked for: this confirms neither.
@@ -180,9 +180,9 @@
 // formOf returns in which form who has something names its list. w.mu is held.
 func (w *Watcher) formOf(have Have) directory.Form {
 	switch {
-	case have.Mark == w.mark:
+	case have.ListHash == w.mark:
 		return directory.WithStarts
-	case have.Mark == w.plainMark:
+	case have.ListHash == w.plainMark:
 		return directory.Plain
 	case len(have.Sums) > 0:
 		return w.directory.FormOf(have.Sums)
@@ -200,7 +200,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	state := w.holder.Current()
-	k := Knowledge{Version: state.Table.Version(), Mark: w.mark, From: have.Mark, ListRead: w.directory.Read(), Generation: w.life.generation}
+	k := Knowledge{Version: state.Table.Version(), ListHash: w.mark, BaseHash: have.ListHash, ListRead: w.directory.Read(), Generation: w.life.generation}
 	if k.Generation != 0 {
 		k.GenerationAge = now.Sub(w.life.since)
 	}
@@ -213,9 +213,9 @@
 	}
 	form := w.formOf(have)
 	if form == directory.Plain {
-		k.Mark = w.plainMark
+		k.ListHash = w.plainMark
 	}
-	if k.Mark == have.Mark {
+	if k.ListHash == have.ListHash {
 		return k, w.age(now)
 	}
 	if len(have.Sums) > 0 {
--- a/internal/watch/list_test.go
+++ b/internal/watch/list_test.go
@@ -76,7 +76,7 @@
 		assert.False(t, f.ApplyPeerProof(word, time.Now().Add(-500*time.Millisecond)))
 		assert.Equal(t, 500*time.Millisecond, f.Staleness(time.Now()))
 		assert.Zero(t, f.ListAge(time.Now()))
-		word.Mark++
+		word.ListHash++
 		assert.False(t, f.ApplyPeerProof(word, time.Now().Add(-400*time.Millisecond)), "an older list is not newer")
 	})
 }
--- a/internal/watch/updates_test.go
+++ b/internal/watch/updates_test.go
@@ -45,8 +45,8 @@
 
 		time.Sleep(time.Millisecond)
 		news, _ = f.Updates()
-		mark := f.Digest().Mark
-		f.ApplyKnowledge(Knowledge{Config: config(3), Version: 3, Mark: mark}, time.Now(), time.Now(), "other")
+		mark := f.Digest().ListHash
+		f.ApplyKnowledge(Knowledge{Config: config(3), Version: 3, ListHash: mark}, time.Now(), time.Now(), "other")
 		assert.True(t, closed(news), "from another router")
 	})
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -155,14 +155,14 @@
 	f := newWatcher(&fakeSource{}, 0)
 	now := time.Now()
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas("a", "b")}, now)
-	old := f.Digest().Mark
+	old := f.Digest().ListHash
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas("a")}, now.Add(time.Second))
-	f.ApplyKnowledge(Knowledge{Version: 4, Mark: old}, now.Add(3*time.Second), now.Add(3*time.Second), "peer")
+	f.ApplyKnowledge(Knowledge{Version: 4, ListHash: old}, now.Add(3*time.Second), now.Add(3*time.Second), "peer")
 	assert.Equal(t, 4*time.Second, f.Age(now.Add(5*time.Second)))
 	assert.Equal(t, 4*time.Second, f.Staleness(now.Add(5*time.Second)))
 
-	mark := f.Digest().Mark
-	f.ApplyKnowledge(Knowledge{Version: 4, Mark: mark}, now.Add(3*time.Second), now.Add(3*time.Second), "peer")
+	mark := f.Digest().ListHash
+	f.ApplyKnowledge(Knowledge{Version: 4, ListHash: mark}, now.Add(3*time.Second), now.Add(3*time.Second), "peer")
 	assert.Equal(t, 2*time.Second, f.Age(now.Add(5*time.Second)))
 }
 
--- a/pkg/directory/parts_test.go
+++ b/pkg/directory/parts_test.go
@@ -53,7 +53,7 @@
 			excerpt := mine.Excerpt(WithStarts, theirs.Sums(WithStarts))
 			assert.LessOrEqual(t, len(excerpt.Differ), changes, "%d of %d", changes, size)
 			theirs.Apply(theirs.With(excerpt), at(1))
-			assert.Equal(t, mine.Mark(WithStarts), theirs.Mark(WithStarts), "%d of %d", changes, size)
+			assert.Equal(t, mine.Hash(WithStarts), theirs.Hash(WithStarts), "%d of %d", changes, size)
 			assert.Equal(t, mine.Sums(WithStarts), theirs.Sums(WithStarts))
 			assert.True(t, slices.Equal(mine.List(), theirs.List()), "%d of %d", changes, size)
 		}
@@ -69,7 +69,7 @@
 	theirs.Replace(cold, at(0))
 	cold[0].Entry, cold[0].ColdLeft = 1, time.Minute
 	mine.Replace(cold, at(0))
-	assert.Equal(t, mine.Mark(WithStarts), theirs.Mark(WithStarts))
+	assert.Equal(t, mine.Hash(WithStarts), theirs.Hash(WithStarts))
 	theirs.Apply(theirs.With(mine.Excerpt(WithStarts, theirs.Sums(WithStarts))), at(0))
 	assert.Equal(t, at(60), theirs.List()[0].ColdUntil)
 }
@@ -109,8 +109,8 @@
 	newer, old := New(time.Hour, time.Hour), New(time.Hour, time.Hour)
 	newer.Replace(born, at(0))
 	old.Replace(plain, at(0))
-	assert.Equal(t, old.Mark(WithStarts), newer.Mark(Plain))
-	assert.NotEqual(t, old.Mark(WithStarts), newer.Mark(WithStarts))
+	assert.Equal(t, old.Hash(WithStarts), newer.Hash(Plain))
+	assert.NotEqual(t, old.Hash(WithStarts), newer.Hash(WithStarts))
 	assert.Equal(t, Plain, newer.FormOf(old.Sums(WithStarts)))
 	assert.Equal(t, WithStarts, newer.FormOf(newer.Sums(WithStarts)))
 	assert.Empty(t, newer.Excerpt(Plain, old.Sums(WithStarts)).Differ)
@@ -120,6 +120,6 @@
 	assert.Equal(t, Plain, newer.FormOf(old.Sums(WithStarts)), "also where a part differs")
 	assert.Len(t, newer.Excerpt(Plain, old.Sums(WithStarts)).Differ, 1)
 	newer.Apply(newer.WithStarts(old.Listing()), at(1))
-	assert.Equal(t, old.Mark(Plain), newer.Mark(Plain))
+	assert.Equal(t, old.Hash(Plain), newer.Hash(Plain))
 	assert.EqualValues(t, 4, newer.List()[slices.IndexFunc(newer.List(), func(r Replica) bool { return r.ID == "i-3" })].Born, "what it told nothing of is still known")
 }
--- a/pkg/directory/rewind_test.go
+++ b/pkg/directory/rewind_test.go
@@ -139,7 +139,7 @@
 	assert.True(t, held)
 	fresh.Learn(facts, at(2.2))
 	assert.Equal(t, []string{"c"}, sends(fresh), "at once")
-	assert.Equal(t, knew.Mark(WithStarts), fresh.Mark(WithStarts))
+	assert.Equal(t, knew.Hash(WithStarts), fresh.Hash(WithStarts))
 	assert.Equal(t, knew.FactsSum(at(2.3)), fresh.FactsSum(at(2.3)))
 	fresh.Apply(Listing{Replicas: copied}, at(3))
 	assert.Equal(t, []string{"c"}, sends(fresh), "its own reads change nothing")
@@ -182,7 +182,7 @@
 	facts, _ := left.Facts(at(2))
 	drained.Learn(facts, at(2))
 	assert.Equal(t, left.FactsSum(at(2)), drained.FactsSum(at(2)))
-	assert.Equal(t, left.Mark(WithStarts), drained.Mark(WithStarts))
+	assert.Equal(t, left.Hash(WithStarts), drained.Hash(WithStarts))
 }
 
 func TestWhoLeftLongAgoIsForgotten(t *testing.T) {
