--- a/internal/gossip/corpus_test.go
+++ b/internal/gossip/corpus_test.go
@@ -72,7 +72,7 @@
 			assert.Equal(t, want.born, k.Listing.Replicas[0].Born)
 
 			corpus(t, build, "excerpt", &excerpt)
-			k, err = decodeKnowledge(&excerpt, watch.Have{Sums: make([]uint32, 16)})
+			k, err = decodeKnowledge(&excerpt, watch.Have{PartHashes: make([]uint32, 16)})
 			require.NoError(t, err)
 			assert.Equal(t, []uint32{2, 5}, k.Excerpt.Differ)
 		})
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -102,7 +102,7 @@
 	defer g.learning.Store(false)
 	asked := steady.Now()
 	have := g.watcher.Have()
-	request := &gossippb.KnowledgeRequest{Version: have.Version, Mark: have.ListHash, Facts: have.Facts, Sums: have.Sums, Holders: !g.recalled.Load()}
+	request := &gossippb.KnowledgeRequest{Version: have.Version, Mark: have.ListHash, Facts: have.Facts, Sums: have.PartHashes, Holders: !g.recalled.Load()}
 	var reply *gossippb.KnowledgeReply
 	err := g.client.Control(ctx, address, peer.Bound{Call: learnTimeout}, func(ctx context.Context, conn drpc.Conn) (err error) {
 		reply, err = gossippb.NewDRPCGossipClient(conn).Knowledge(ctx, request)
@@ -149,10 +149,10 @@
 	switch {
 	case reply.Parts == 0:
 		k.Listing = &listing
-	case int(reply.Parts) == len(have.Sums):
+	case int(reply.Parts) == len(have.PartHashes):
 		k.Excerpt = &directory.Excerpt{Parts: int(reply.Parts), Differ: reply.Differ, Listing: listing}
 	default:
-		return k, fmt.Errorf("%w: %d parts of a list, asked for %d", ErrMalformed, reply.Parts, len(have.Sums))
+		return k, fmt.Errorf("%w: %d parts of a list, asked for %d", ErrMalformed, reply.Parts, len(have.PartHashes))
 	}
 	return k, nil
 }
--- a/internal/gossip/learn_bench_test.go
+++ b/internal/gossip/learn_bench_test.go
@@ -45,7 +45,7 @@
 				k, _ := teacher.Knowledge(have, now)
 				text, err := pack(&k.Excerpt.Listing)
 				require.NoError(b, err)
-				bytes += len(text) + len(have.Sums)*4
+				bytes += len(text) + len(have.PartHashes)*4
 				require.NoError(b, unpack(text, &k.Excerpt.Listing))
 				learner.ApplyKnowledge(k, now, now, "peer")
 			}
--- a/internal/watch/generation.go
+++ b/internal/watch/generation.go
@@ -63,7 +63,7 @@
 
 // digest is Digest with w.mu held.
 func (w *Watcher) digest() Digest {
-	d := Digest{ListHash: w.mark, Generation: w.life.generation, Facts: w.directory.FactsSum(steady.Now())}
+	d := Digest{ListHash: w.mark, Generation: w.life.generation, Facts: w.directory.FactsHash(steady.Now())}
 	if table := w.holder.Current().Table; table != nil {
 		d.Version = table.Version()
 	}
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -36,8 +36,8 @@
 	Version, ListHash uint64
 	// Facts names what it holds against a copy.
 	Facts uint32
-	// Sums are of the parts of its list; without them it takes the whole one.
-	Sums []uint32
+	// PartHashes are of the parts of its list; without them it takes the whole one.
+	PartHashes []uint32
 }
 
 // Have returns what is known, so that another router sends only what is not.
@@ -47,7 +47,7 @@
 	digest := w.digest()
 	have := Have{Version: digest.Version, ListHash: digest.ListHash, Facts: digest.Facts}
 	if !w.whole && !w.directory.Read().IsZero() {
-		have.Sums = w.directory.Sums(directory.WithStarts)
+		have.PartHashes = w.directory.PartHashes(directory.WithStarts)
 	}
 	return have
 }
@@ -184,8 +184,8 @@
 		return directory.WithStarts
 	case have.ListHash == w.plainMark:
 		return directory.Plain
-	case len(have.Sums) > 0:
-		return w.directory.FormOf(have.Sums)
+	case len(have.PartHashes) > 0:
+		return w.directory.FormOf(have.PartHashes)
 	}
 	return directory.WithStarts
 }
@@ -204,7 +204,7 @@
 	if k.Generation != 0 {
 		k.GenerationAge = now.Sub(w.life.since)
 	}
-	if facts, held := w.directory.Facts(now); held && w.directory.FactsSum(now) != have.Facts {
+	if facts, held := w.directory.Facts(now); held && w.directory.FactsHash(now) != have.Facts {
 		k.Facts = &facts
 	}
 	if k.Version > have.Version {
@@ -218,8 +218,8 @@
 	if k.ListHash == have.ListHash {
 		return k, w.age(now)
 	}
-	if len(have.Sums) > 0 {
-		excerpt := w.directory.Excerpt(form, have.Sums)
+	if len(have.PartHashes) > 0 {
+		excerpt := w.directory.Excerpt(form, have.PartHashes)
 		if len(excerpt.Differ) <= int(mostParts*float64(excerpt.Parts)) {
 			k.Excerpt = &excerpt
 			return k, w.age(now)
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -74,5 +74,5 @@
 	require.NotNil(t, k.Listing)
 	learner.ApplyKnowledge(k, now.Add(2*time.Second), now.Add(2*time.Second), "peer")
 	assert.Equal(t, teacher.Replicas(), learner.Replicas())
-	assert.NotEmpty(t, learner.Have().Sums)
+	assert.NotEmpty(t, learner.Have().PartHashes)
 }
--- a/pkg/directory/parts.go
+++ b/pkg/directory/parts.go
@@ -89,9 +89,9 @@
 	return uint32(sum ^ sum>>32)
 }
 
-// Sums returns a sum of each part of what the last read listed, for another router to
+// PartHashes returns a sum of each part of what the last read listed, for another router to
 // see which of its parts differ.
-func (d *Directory) Sums(f Form) []uint32 { return d.sums(f, parts(len(d.entries))) }
+func (d *Directory) PartHashes(f Form) []uint32 { return d.sums(f, parts(len(d.entries))) }
 
 func (d *Directory) sums(f Form, count int) []uint32 {
 	sums := make([]uint32, count)
--- a/pkg/directory/restart_test.go
+++ b/pkg/directory/restart_test.go
@@ -84,7 +84,7 @@
 		d.Replace([]Replica{{ID: "a", State: Unusable, Entry: 5}}, begin.Add(time.Second))
 	}
 	assert.Equal(t, other.Hash(WithStarts), saw.Hash(WithStarts))
-	assert.Equal(t, other.Sums(WithStarts), saw.Sums(WithStarts))
+	assert.Equal(t, other.PartHashes(WithStarts), saw.PartHashes(WithStarts))
 }
 
 func TestAListWithoutStartsHasTheMarkItAlwaysHad(t *testing.T) {
--- a/pkg/directory/rewind.go
+++ b/pkg/directory/rewind.go
@@ -111,8 +111,8 @@
 // gone stands in a sum of facts where a state does else.
 const gone = 0xff
 
-// FactsSum names what Facts returns by its content: 0 for nothing.
-func (d *Directory) FactsSum(now time.Time) uint32 {
+// FactsHash names what Facts returns by its content: 0 for nothing.
+func (d *Directory) FactsHash(now time.Time) uint32 {
 	f, held := d.Facts(now)
 	if !held {
 		return 0
--- a/pkg/directory/rewind_test.go
+++ b/pkg/directory/rewind_test.go
@@ -134,19 +134,19 @@
 
 	_, held := fresh.Facts(at(2.2))
 	assert.False(t, held)
-	assert.Zero(t, fresh.FactsSum(at(2.2)))
+	assert.Zero(t, fresh.FactsHash(at(2.2)))
 	facts, held := knew.Facts(at(2.2))
 	assert.True(t, held)
 	fresh.Learn(facts, at(2.2))
 	assert.Equal(t, []string{"c"}, sends(fresh), "at once")
 	assert.Equal(t, knew.Hash(WithStarts), fresh.Hash(WithStarts))
-	assert.Equal(t, knew.FactsSum(at(2.3)), fresh.FactsSum(at(2.3)))
+	assert.Equal(t, knew.FactsHash(at(2.3)), fresh.FactsHash(at(2.3)))
 	fresh.Apply(Listing{Replicas: copied}, at(3))
 	assert.Equal(t, []string{"c"}, sends(fresh), "its own reads change nothing")
 	assert.Empty(t, fresh.Learn(facts, at(3.1)), "what is known is no news")
 	fresh.Apply(Listing{Replicas: copied}, at(7.2))
 	assert.Equal(t, []string{"a", "b", "c", "d"}, sends(fresh), "no longer than theirs, but for the way")
-	assert.Zero(t, fresh.FactsSum(at(7.2)))
+	assert.Zero(t, fresh.FactsHash(at(7.2)))
 }
 
 func TestFactsOfTwoAreJoined(t *testing.T) {
@@ -164,8 +164,8 @@
 	two.Learn(ones, at(2))
 	assert.Equal(t, []string{"c", "d", "e"}, sends(one))
 	assert.Equal(t, []string{"c", "d", "e"}, sends(two))
-	assert.Equal(t, one.FactsSum(at(3)), two.FactsSum(at(3)))
-	assert.NotZero(t, one.FactsSum(at(3)))
+	assert.Equal(t, one.FactsHash(at(3)), two.FactsHash(at(3)))
+	assert.NotZero(t, one.FactsHash(at(3)))
 }
 
 // Two who know of one replica that it drains, and that it is gone, have to hear each other.
@@ -178,10 +178,10 @@
 		d.Rewind(at(2), d.Hold())
 		d.Replace(list, at(2))
 	}
-	assert.NotEqual(t, drained.FactsSum(at(2)), left.FactsSum(at(2)))
+	assert.NotEqual(t, drained.FactsHash(at(2)), left.FactsHash(at(2)))
 	facts, _ := left.Facts(at(2))
 	drained.Learn(facts, at(2))
-	assert.Equal(t, left.FactsSum(at(2)), drained.FactsSum(at(2)))
+	assert.Equal(t, left.FactsHash(at(2)), drained.FactsHash(at(2)))
 	assert.Equal(t, left.Hash(WithStarts), drained.Hash(WithStarts))
 }
 
