--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -48,7 +48,7 @@
 		return
 	}
 	w.balancer.SetReplicas(w.directory.List(), w.directory.Read())
-	w.mark, w.plainMark = w.directory.Hash(directory.WithStarts), w.directory.Hash(directory.Plain)
+	w.mark, w.plainMark = w.directory.Hash(directory.HashWithStarts), w.directory.Hash(directory.HashPlain)
 	w.notifyUpdate()
 	for _, c := range changes {
 		switch c.Kind {
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -47,7 +47,7 @@
 	digest := w.digest()
 	have := Have{Version: digest.Version, ListHash: digest.ListHash, Facts: digest.Facts}
 	if !w.whole && !w.directory.Read().IsZero() {
-		have.PartHashes = w.directory.PartHashes(directory.WithStarts)
+		have.PartHashes = w.directory.PartHashes(directory.HashWithStarts)
 	}
 	return have
 }
@@ -154,7 +154,7 @@
 // whose mark differs is another one: the next is then requested whole.
 // w.mu is held.
 func (w *Watcher) applyListing(l directory.Listing, mark uint64, proven time.Time) {
-	w.handleChanges(w.directory.Apply(w.directory.WithStarts(l), proven))
+	w.handleChanges(w.directory.Apply(w.directory.FillStartTimes(l), proven))
 	w.whole = !w.isMark(mark)
 }
 
@@ -178,16 +178,16 @@
 }
 
 // formOf returns in which form who has something names its list. w.mu is held.
-func (w *Watcher) formOf(have Have) directory.Form {
+func (w *Watcher) formOf(have Have) directory.HashFormat {
 	switch {
 	case have.ListHash == w.mark:
-		return directory.WithStarts
+		return directory.HashWithStarts
 	case have.ListHash == w.plainMark:
-		return directory.Plain
+		return directory.HashPlain
 	case len(have.PartHashes) > 0:
-		return w.directory.FormOf(have.PartHashes)
+		return w.directory.DetectHashFormat(have.PartHashes)
 	}
-	return directory.WithStarts
+	return directory.HashWithStarts
 }
 
 // mostParts is up to which part of a list an excerpt is sent: beyond, the whole list is
@@ -212,7 +212,7 @@
 		k.Config = &config
 	}
 	form := w.formOf(have)
-	if form == directory.Plain {
+	if form == directory.HashPlain {
 		k.ListHash = w.plainMark
 	}
 	if k.ListHash == have.ListHash {
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -47,9 +47,9 @@
 	assert.Equal(t, map[string]ChangeKind{"a": Unconfirmed, "b": Unconfirmed}, changes(d.Replace(nil, at(10))))
 	assert.Len(t, d.List(), 2)
 	assert.Empty(t, d.Listed(), "what is doubted is not passed on")
-	empty := d.Hash(WithStarts)
+	empty := d.Hash(HashWithStarts)
 	assert.Equal(t, map[string]ChangeKind{"a": ListedAgain}, changes(d.Replace(ready("a"), at(11))), "a change, since it changes the mark")
-	assert.NotEqual(t, empty, d.Hash(WithStarts))
+	assert.NotEqual(t, empty, d.Hash(HashWithStarts))
 	assert.Equal(t, map[string]ChangeKind{"b": Left}, changes(d.Replace(ready("a"), at(12.5))))
 	assert.Equal(t, map[string]ChangeKind{"a": Left}, changes(d.Replace(nil, at(13))), "the outage is over")
 }
@@ -74,9 +74,9 @@
 	one, two := New(0, 0), New(0, 0)
 	one.Replace(ready("a", "b"), at(0))
 	two.Replace(ready("b", "a"), at(5))
-	assert.Equal(t, one.Hash(WithStarts), two.Hash(WithStarts))
+	assert.Equal(t, one.Hash(HashWithStarts), two.Hash(HashWithStarts))
 	two.Replace(ready("a"), at(6))
-	assert.NotEqual(t, one.Hash(WithStarts), two.Hash(WithStarts))
+	assert.NotEqual(t, one.Hash(HashWithStarts), two.Hash(HashWithStarts))
 }
 
 // Hunt, hrs-croftyard, mix, seed 1096346806942 (finding 2).
--- a/pkg/directory/listing.go
+++ b/pkg/directory/listing.go
@@ -42,7 +42,7 @@
 
 // Hash names the list by its content in a form, in whatever order that is kept: it is worked out
 // at each change, and to sort and write out a long list takes longer than the change.
-func (d *Directory) Hash(f Form) uint64 {
+func (d *Directory) Hash(f HashFormat) uint64 {
 	var replicas uint64
 	for _, e := range d.entries {
 		if e.unconfirmedSince.IsZero() {
--- a/pkg/directory/parts.go
+++ b/pkg/directory/parts.go
@@ -38,16 +38,16 @@
 // idHash is what a replica's part goes by.
 func idHash(id string) uint64 { return xxhash.Sum64String(id) }
 
-// Form is what of a list its mark and sums tell. Builds differ in it, and run beside each
+// HashFormat is what of a list its mark and sums tell. Builds differ in it, and run beside each
 // other: a router speaks to each in the form that this one understands. Where no replica
 // says when it started both forms are the same.
-type Form uint8
+type HashFormat uint8
 
 // The forms, the oldest first. A new field of an entry needs another one.
 const (
-	Plain Form = iota
-	// WithStarts tells when replicas started too.
-	WithStarts
+	HashPlain HashFormat = iota
+	// HashWithStarts tells when replicas started too.
+	HashWithStarts
 	forms
 )
 
@@ -81,7 +81,7 @@
 
 // sum distinguishes an entry from that of another list. An entry of a cold replica
 // that was written anew may tell that it stays cold for longer.
-func (e *entry) sum(f Form) uint32 {
+func (e *entry) sum(f HashFormat) uint32 {
 	sum := e.sums[f]
 	if e.replica.Cold {
 		sum ^= e.replica.Entry
@@ -91,9 +91,9 @@
 
 // PartHashes returns a sum of each part of what the last read listed, for another router to
 // see which of its parts differ.
-func (d *Directory) PartHashes(f Form) []uint32 { return d.sums(f, parts(len(d.entries))) }
+func (d *Directory) PartHashes(f HashFormat) []uint32 { return d.sums(f, parts(len(d.entries))) }
 
-func (d *Directory) sums(f Form, count int) []uint32 {
+func (d *Directory) sums(f HashFormat, count int) []uint32 {
 	sums := make([]uint32, count)
 	for _, e := range d.entries {
 		if e.unconfirmedSince.IsZero() {
@@ -106,10 +106,10 @@
 // part is the number of the part to which an entry belongs.
 func (e *entry) part(count int) uint32 { return uint32(e.idHash % uint64(count)) }
 
-// FormOf returns the form of the sums of another list: that in which more of its parts
+// DetectHashFormat returns the form of the sums of another list: that in which more of its parts
 // are alike.
-func (d *Directory) FormOf(theirs []uint32) Form {
-	best, most := WithStarts, -1
+func (d *Directory) DetectHashFormat(theirs []uint32) HashFormat {
+	best, most := HashWithStarts, -1
 	for f := forms; f > 0; f-- {
 		alike := 0
 		for i, sum := range d.sums(f-1, len(theirs)) {
@@ -124,9 +124,9 @@
 	return best
 }
 
-// WithStarts returns a list of another router with the starts that are known here of those
+// FillStartTimes returns a list of another router with the starts that are known here of those
 // replicas of which it tells none: it may be of a build that knows nothing of them.
-func (d *Directory) WithStarts(l Listing) Listing {
+func (d *Directory) FillStartTimes(l Listing) Listing {
 	l.Replicas = slices.Clone(l.Replicas)
 	for i := range l.Replicas {
 		r := &l.Replicas[i]
@@ -139,7 +139,7 @@
 
 // Excerpt returns the parts of what the last read listed that differ from a list of
 // some sums in a form.
-func (d *Directory) Excerpt(f Form, theirs []uint32) Excerpt {
+func (d *Directory) Excerpt(f HashFormat, theirs []uint32) Excerpt {
 	x := Excerpt{Parts: len(theirs)}
 	differs := make([]bool, len(theirs))
 	for i, sum := range d.sums(f, len(theirs)) {
--- a/pkg/directory/parts_test.go
+++ b/pkg/directory/parts_test.go
@@ -50,11 +50,11 @@
 			list := manyReplicas(size)
 			theirs.Apply(Listing{Replicas: list}, at(0))
 			mine.Apply(Listing{Replicas: changeSome(list, changes, random), Evacuated: []string{"2"}}, at(1))
-			excerpt := mine.Excerpt(WithStarts, theirs.PartHashes(WithStarts))
+			excerpt := mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts))
 			assert.LessOrEqual(t, len(excerpt.Differ), changes, "%d of %d", changes, size)
 			theirs.Apply(theirs.With(excerpt), at(1))
-			assert.Equal(t, mine.Hash(WithStarts), theirs.Hash(WithStarts), "%d of %d", changes, size)
-			assert.Equal(t, mine.PartHashes(WithStarts), theirs.PartHashes(WithStarts))
+			assert.Equal(t, mine.Hash(HashWithStarts), theirs.Hash(HashWithStarts), "%d of %d", changes, size)
+			assert.Equal(t, mine.PartHashes(HashWithStarts), theirs.PartHashes(HashWithStarts))
 			assert.True(t, slices.Equal(mine.List(), theirs.List()), "%d of %d", changes, size)
 		}
 	}
@@ -69,8 +69,8 @@
 	theirs.Replace(cold, at(0))
 	cold[0].Entry, cold[0].ColdLeft = 1, time.Minute
 	mine.Replace(cold, at(0))
-	assert.Equal(t, mine.Hash(WithStarts), theirs.Hash(WithStarts))
-	theirs.Apply(theirs.With(mine.Excerpt(WithStarts, theirs.PartHashes(WithStarts))), at(0))
+	assert.Equal(t, mine.Hash(HashWithStarts), theirs.Hash(HashWithStarts))
+	theirs.Apply(theirs.With(mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts))), at(0))
 	assert.Equal(t, at(60), theirs.List()[0].ColdUntil)
 }
 
@@ -81,9 +81,9 @@
 	theirs.Replace(ready("a", "b", "c"), at(0))
 	mine.Replace(nil, at(10))
 	theirs.Replace(nil, at(10))
-	assert.Empty(t, mine.Excerpt(WithStarts, theirs.PartHashes(WithStarts)).Differ)
+	assert.Empty(t, mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts)).Differ)
 	mine.Replace(ready("b"), at(11))
-	theirs.Apply(theirs.With(mine.Excerpt(WithStarts, theirs.PartHashes(WithStarts))), at(11))
+	theirs.Apply(theirs.With(mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts))), at(11))
 	assert.Equal(t, mine.List(), theirs.List())
 	assert.Len(t, theirs.List(), 3)
 }
@@ -109,17 +109,17 @@
 	newer, old := New(time.Hour, time.Hour), New(time.Hour, time.Hour)
 	newer.Replace(born, at(0))
 	old.Replace(plain, at(0))
-	assert.Equal(t, old.Hash(WithStarts), newer.Hash(Plain))
-	assert.NotEqual(t, old.Hash(WithStarts), newer.Hash(WithStarts))
-	assert.Equal(t, Plain, newer.FormOf(old.PartHashes(WithStarts)))
-	assert.Equal(t, WithStarts, newer.FormOf(newer.PartHashes(WithStarts)))
-	assert.Empty(t, newer.Excerpt(Plain, old.PartHashes(WithStarts)).Differ)
+	assert.Equal(t, old.Hash(HashWithStarts), newer.Hash(HashPlain))
+	assert.NotEqual(t, old.Hash(HashWithStarts), newer.Hash(HashWithStarts))
+	assert.Equal(t, HashPlain, newer.DetectHashFormat(old.PartHashes(HashWithStarts)))
+	assert.Equal(t, HashWithStarts, newer.DetectHashFormat(newer.PartHashes(HashWithStarts)))
+	assert.Empty(t, newer.Excerpt(HashPlain, old.PartHashes(HashWithStarts)).Differ)
 
 	plain[3].State = Draining
 	old.Replace(plain, at(1))
-	assert.Equal(t, Plain, newer.FormOf(old.PartHashes(WithStarts)), "also where a part differs")
-	assert.Len(t, newer.Excerpt(Plain, old.PartHashes(WithStarts)).Differ, 1)
-	newer.Apply(newer.WithStarts(old.Listing()), at(1))
-	assert.Equal(t, old.Hash(Plain), newer.Hash(Plain))
+	assert.Equal(t, HashPlain, newer.DetectHashFormat(old.PartHashes(HashWithStarts)), "also where a part differs")
+	assert.Len(t, newer.Excerpt(HashPlain, old.PartHashes(HashWithStarts)).Differ, 1)
+	newer.Apply(newer.FillStartTimes(old.Listing()), at(1))
+	assert.Equal(t, old.Hash(HashPlain), newer.Hash(HashPlain))
 	assert.EqualValues(t, 4, newer.List()[slices.IndexFunc(newer.List(), func(r Replica) bool { return r.ID == "i-3" })].Born, "what it told nothing of is still known")
 }
--- a/pkg/directory/restart_test.go
+++ b/pkg/directory/restart_test.go
@@ -83,17 +83,17 @@
 	for _, d := range []*Directory{saw, other} {
 		d.Replace([]Replica{{ID: "a", State: Unusable, Entry: 5}}, begin.Add(time.Second))
 	}
-	assert.Equal(t, other.Hash(WithStarts), saw.Hash(WithStarts))
-	assert.Equal(t, other.PartHashes(WithStarts), saw.PartHashes(WithStarts))
+	assert.Equal(t, other.Hash(HashWithStarts), saw.Hash(HashWithStarts))
+	assert.Equal(t, other.PartHashes(HashWithStarts), saw.PartHashes(HashWithStarts))
 }
 
 func TestAListWithoutStartsHasTheMarkItAlwaysHad(t *testing.T) {
 	d := New(time.Hour, time.Hour)
 	d.Replace([]Replica{{ID: "a", Service: "s", Address: "a:1"}}, time.Now())
-	before := d.Hash(WithStarts)
+	before := d.Hash(HashWithStarts)
 	later := New(time.Hour, time.Hour)
 	later.Replace([]Replica{{ID: "a", Service: "s", Address: "a:1", Counted: 9}}, time.Now())
-	assert.Equal(t, before, later.Hash(WithStarts))
+	assert.Equal(t, before, later.Hash(HashWithStarts))
 	later.Replace([]Replica{{ID: "a", Service: "s", Address: "a:1", Born: 9}}, time.Now())
-	assert.NotEqual(t, before, later.Hash(WithStarts))
+	assert.NotEqual(t, before, later.Hash(HashWithStarts))
 }
--- a/pkg/directory/rewind_test.go
+++ b/pkg/directory/rewind_test.go
@@ -139,7 +139,7 @@
 	assert.True(t, held)
 	fresh.Learn(facts, at(2.2))
 	assert.Equal(t, []string{"c"}, sends(fresh), "at once")
-	assert.Equal(t, knew.Hash(WithStarts), fresh.Hash(WithStarts))
+	assert.Equal(t, knew.Hash(HashWithStarts), fresh.Hash(HashWithStarts))
 	assert.Equal(t, knew.FactsHash(at(2.3)), fresh.FactsHash(at(2.3)))
 	fresh.Apply(Listing{Replicas: copied}, at(3))
 	assert.Equal(t, []string{"c"}, sends(fresh), "its own reads change nothing")
@@ -182,7 +182,7 @@
 	facts, _ := left.Facts(at(2))
 	drained.Learn(facts, at(2))
 	assert.Equal(t, left.FactsHash(at(2)), drained.FactsHash(at(2)))
-	assert.Equal(t, left.Hash(WithStarts), drained.Hash(WithStarts))
+	assert.Equal(t, left.Hash(HashWithStarts), drained.Hash(HashWithStarts))
 }
 
 func TestWhoLeftLongAgoIsForgotten(t *testing.T) {
--- a/pkg/directory/warmth_test.go
+++ b/pkg/directory/warmth_test.go
@@ -56,13 +56,13 @@
 func TestTheMarkDoesNotCountDown(t *testing.T) {
 	d := New(9*time.Second, 2*time.Second)
 	d.Replace([]Replica{cold("a", 1, 3*time.Second)}, at(0))
-	fresh := d.Hash(WithStarts)
+	fresh := d.Hash(HashWithStarts)
 	d.Replace([]Replica{cold("a", 2, 1900*time.Millisecond)}, at(1))
-	assert.Equal(t, fresh, d.Hash(WithStarts))
+	assert.Equal(t, fresh, d.Hash(HashWithStarts))
 	d.Confirm(at(2))
-	assert.Equal(t, fresh, d.Hash(WithStarts))
+	assert.Equal(t, fresh, d.Hash(HashWithStarts))
 	d.Replace([]Replica{cold("a", 3, 0)}, at(3))
-	assert.NotEqual(t, fresh, d.Hash(WithStarts), "that it is warm is news")
+	assert.NotEqual(t, fresh, d.Hash(HashWithStarts), "that it is warm is news")
 }
 
 func TestColdIsPassedOnAsOfTheRead(t *testing.T) {
@@ -72,12 +72,12 @@
 	// The other router's clock is another one: what was read at 1 here was read at 501 there.
 	second.Apply(passed(t, first.Listing()), at(501))
 	assert.Equal(t, at(503), second.List()[0].ColdUntil)
-	assert.Equal(t, first.Hash(WithStarts), second.Hash(WithStarts))
+	assert.Equal(t, first.Hash(HashWithStarts), second.Hash(HashWithStarts))
 	first.Confirm(at(4))
 	third := New(9*time.Second, 2*time.Second)
 	third.Apply(passed(t, first.Listing()), at(504))
 	assert.Zero(t, third.List()[0].ColdUntil, "the time is over")
-	assert.Equal(t, first.Hash(WithStarts), third.Hash(WithStarts), "the entry still says cold: both know the same list")
+	assert.Equal(t, first.Hash(HashWithStarts), third.Hash(HashWithStarts), "the entry still says cold: both know the same list")
 }
 
 func TestADataCentreIsEvacuatedAndTakenBack(t *testing.T) {
@@ -93,9 +93,9 @@
 	d := New(9*time.Second, 2*time.Second)
 	list := []Replica{cold("a", 1, 0), {ID: "b", Service: "s", DataCentre: "south"}}
 	d.Apply(Listing{Replicas: list}, at(0))
-	before := d.Hash(WithStarts)
+	before := d.Hash(HashWithStarts)
 	assert.Equal(t, map[string]ChangeKind{"north": Evacuated}, centres(d.Apply(Listing{list, []string{"north"}}, at(1))))
-	assert.NotEqual(t, before, d.Hash(WithStarts))
+	assert.NotEqual(t, before, d.Hash(HashWithStarts))
 	assert.True(t, d.List()[0].Evacuated)
 	assert.False(t, d.List()[1].Evacuated)
 
@@ -108,10 +108,10 @@
 
 	other := New(9*time.Second, 2*time.Second)
 	assert.Equal(t, map[string]ChangeKind{"north": Evacuated}, centres(other.Apply(passed(t, d.Listing()), at(3))))
-	assert.Equal(t, d.Hash(WithStarts), other.Hash(WithStarts))
+	assert.Equal(t, d.Hash(HashWithStarts), other.Hash(HashWithStarts))
 
 	assert.Equal(t, map[string]ChangeKind{"north": EvacuationEnded}, centres(d.Apply(Listing{list, nil}, at(4))))
-	assert.Equal(t, before, d.Hash(WithStarts))
+	assert.Equal(t, before, d.Hash(HashWithStarts))
 	assert.False(t, d.List()[0].Evacuated)
 }
 
