--- a/internal/gossip/corpus_test.go
+++ b/internal/gossip/corpus_test.go
@@ -61,7 +61,7 @@
 
 			var reply, excerpt gossippb.KnowledgeReply
 			corpus(t, build, "reply", &reply)
-			k, err := decodeKnowledge(&reply, watch.Have{})
+			k, err := decodeKnowledge(&reply, watch.KnowledgeRequest{})
 			require.NoError(t, err)
 			require.NotNil(t, k.Config)
 			assert.EqualValues(t, 12, k.Config.Version)
@@ -72,7 +72,7 @@
 			assert.Equal(t, want.born, k.Listing.Replicas[0].Born)
 
 			corpus(t, build, "excerpt", &excerpt)
-			k, err = decodeKnowledge(&excerpt, watch.Have{PartHashes: make([]uint32, 16)})
+			k, err = decodeKnowledge(&excerpt, watch.KnowledgeRequest{PartHashes: make([]uint32, 16)})
 			require.NoError(t, err)
 			assert.Equal(t, []uint32{2, 5}, k.Excerpt.Differ)
 		})
--- a/internal/gossip/excerpt_test.go
+++ b/internal/gossip/excerpt_test.go
@@ -41,7 +41,7 @@
 func TestAnExcerptOfOtherPartsIsRefused(t *testing.T) {
 	text, err := pack(directory.Listing{})
 	require.NoError(t, err)
-	have := watch.Have{ListHash: 7, PartHashes: make([]uint32, 16)}
+	have := watch.KnowledgeRequest{ListHash: 7, PartHashes: make([]uint32, 16)}
 	k, err := decodeKnowledge(&gossippb.KnowledgeReply{Replicas: text, Parts: 16, Differ: []uint32{3}}, have)
 	require.NoError(t, err)
 	assert.Equal(t, &directory.Excerpt{Parts: 16, Differ: []uint32{3}}, k.Excerpt)
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -101,7 +101,7 @@
 	}
 	defer g.learning.Store(false)
 	asked := steady.Now()
-	have := g.watcher.Have()
+	have := g.watcher.KnowledgeRequest()
 	request := &gossippb.KnowledgeRequest{Version: have.Version, Mark: have.ListHash, Facts: have.Facts, Sums: have.PartHashes, Holders: !g.recalled.Load()}
 	var reply *gossippb.KnowledgeReply
 	err := g.client.Control(ctx, address, peer.Bound{Call: learnTimeout}, func(ctx context.Context, conn drpc.Conn) (err error) {
@@ -125,7 +125,7 @@
 }
 
 // decodeKnowledge reads what was answered to a router that has something.
-func decodeKnowledge(reply *gossippb.KnowledgeReply, have watch.Have) (watch.Knowledge, error) {
+func decodeKnowledge(reply *gossippb.KnowledgeReply, have watch.KnowledgeRequest) (watch.Knowledge, error) {
 	k := watch.Knowledge{Version: reply.Version, ListHash: reply.Mark, BaseHash: have.ListHash, Generation: reply.Generation, GenerationAge: milliseconds(reply.GenerationAgeMs)}
 	if len(reply.Facts) > 0 {
 		k.Facts = &directory.Facts{}
--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -140,7 +140,7 @@
 	if !g.watcher.Known() {
 		return &gossippb.KnowledgeReply{}, nil
 	}
-	k, age := g.watcher.Knowledge(watch.Have{Version: r.Version, ListHash: r.Mark, Facts: r.Facts, PartHashes: r.Sums}, steady.Now())
+	k, age := g.watcher.Knowledge(watch.KnowledgeRequest{Version: r.Version, ListHash: r.Mark, Facts: r.Facts, PartHashes: r.Sums}, steady.Now())
 	milliseconds := uint32(age.Milliseconds()) + 1
 	reply := &gossippb.KnowledgeReply{Version: k.Version, Mark: k.ListHash, Generation: k.Generation, ProofMs: &milliseconds}
 	reply.GenerationAgeMs = uint32(min(k.GenerationAge, maxGenerationAge).Milliseconds())
--- a/internal/watch/generation_test.go
+++ b/internal/watch/generation_test.go
@@ -99,7 +99,7 @@
 			now := time.Now()
 			proven := now.Add(-teacher.Age(now))
 			if learner != teacher && learner.ApplyPeerProof(teacher.Digest(), proven) {
-				k, age := teacher.Knowledge(learner.Have(), now)
+				k, age := teacher.Knowledge(learner.KnowledgeRequest(), now)
 				learner.ApplyKnowledge(k, now, now.Add(-age), "peer")
 			}
 		}
@@ -199,7 +199,7 @@
 	require.NoError(t, f.ApplySnapshot(listOf(2, 4, draining(list, 0)), now.Add(-time.Second)))
 	assert.False(t, f.ApplyPeerProof(late.Digest(), now.Add(time.Second)), "a later proof of an earlier life")
 	assert.False(t, f.Behind(late.Digest(), now.Add(time.Second)))
-	k, _ := late.Knowledge(Have{}, now)
+	k, _ := late.Knowledge(KnowledgeRequest{}, now)
 	f.ApplyKnowledge(k, now.Add(time.Second), now.Add(time.Second), "peer")
 	assert.False(t, f.Ready("a"))
 	assert.EqualValues(t, 2, f.Digest().Generation)
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -31,8 +31,8 @@
 	Facts *directory.Facts
 }
 
-// Have is what a router has that asks another one for its knowledge.
-type Have struct {
+// KnowledgeRequest is what a router has that asks another one for its knowledge.
+type KnowledgeRequest struct {
 	Version, ListHash uint64
 	// Facts names what it holds against a copy.
 	Facts uint32
@@ -40,12 +40,12 @@
 	PartHashes []uint32
 }
 
-// Have returns what is known, so that another router sends only what is not.
-func (w *Watcher) Have() Have {
+// KnowledgeRequest returns what is known, so that another router sends only what is not.
+func (w *Watcher) KnowledgeRequest() KnowledgeRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	digest := w.digest()
-	have := Have{Version: digest.Version, ListHash: digest.ListHash, Facts: digest.Facts}
+	have := KnowledgeRequest{Version: digest.Version, ListHash: digest.ListHash, Facts: digest.Facts}
 	if !w.whole && !w.directory.Read().IsZero() {
 		have.PartHashes = w.directory.PartHashes(directory.HashWithStarts)
 	}
@@ -178,7 +178,7 @@
 }
 
 // formOf returns in which form who has something names its list. w.mu is held.
-func (w *Watcher) formOf(have Have) directory.HashFormat {
+func (w *Watcher) formOf(have KnowledgeRequest) directory.HashFormat {
 	switch {
 	case have.ListHash == w.mark:
 		return directory.HashWithStarts
@@ -196,7 +196,7 @@
 
 // Knowledge returns what is known and another router has not, with the age of its
 // proof.
-func (w *Watcher) Knowledge(have Have, now time.Time) (Knowledge, time.Duration) {
+func (w *Watcher) Knowledge(have KnowledgeRequest, now time.Time) (Knowledge, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	state := w.holder.Current()
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -29,13 +29,13 @@
 func TestOnlyWhatDiffersIsPassedOn(t *testing.T) {
 	now := time.Now()
 	teacher, learner := teacherAndLearner(now)
-	k, _ := teacher.Knowledge(learner.Have(), now)
+	k, _ := teacher.Knowledge(learner.KnowledgeRequest(), now)
 	require.NotNil(t, k.Excerpt)
 	assert.Nil(t, k.Listing)
 	assert.Nil(t, k.Config)
 	learner.ApplyKnowledge(k, now.Add(time.Second), now.Add(time.Second), "peer")
 	assert.Equal(t, teacher.Replicas(), learner.Replicas())
-	k, _ = teacher.Knowledge(learner.Have(), now)
+	k, _ = teacher.Knowledge(learner.KnowledgeRequest(), now)
 	assert.Nil(t, k.Excerpt, "both know the same")
 }
 
@@ -44,10 +44,10 @@
 	teacher, learner := newWatcher(&fakeSource{}, 0), newWatcher(&fakeSource{}, 1)
 	learner.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas(manyIDs(10)...)}, now)
 	teacher.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas(manyIDs(100)...)}, now.Add(time.Second))
-	k, _ := teacher.Knowledge(learner.Have(), now)
+	k, _ := teacher.Knowledge(learner.KnowledgeRequest(), now)
 	assert.Nil(t, k.Excerpt)
 	require.NotNil(t, k.Listing)
-	k, _ = teacher.Knowledge(newWatcher(&fakeSource{}, 1).Have(), now)
+	k, _ = teacher.Knowledge(newWatcher(&fakeSource{}, 1).KnowledgeRequest(), now)
 	assert.NotNil(t, k.Listing, "who has nothing takes all")
 	assert.NotNil(t, k.Config)
 }
@@ -56,7 +56,7 @@
 func TestAnExcerptOfAListThatHasChangedIsLeftOut(t *testing.T) {
 	now := time.Now()
 	teacher, learner := teacherAndLearner(now)
-	k, _ := teacher.Knowledge(learner.Have(), now)
+	k, _ := teacher.Knowledge(learner.KnowledgeRequest(), now)
 	learner.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas(manyIDs(99)...)}, now.Add(500*time.Millisecond))
 	learner.ApplyKnowledge(k, now.Add(time.Second), now.Add(time.Second), "peer")
 	assert.Len(t, learner.Replicas(), 99)
@@ -67,12 +67,12 @@
 func TestAfterAnExcerptThatDoesNotFitTheWholeListIsTaken(t *testing.T) {
 	now := time.Now()
 	teacher, learner := teacherAndLearner(now)
-	k, _ := teacher.Knowledge(learner.Have(), now)
+	k, _ := teacher.Knowledge(learner.KnowledgeRequest(), now)
 	k.Excerpt.Differ, k.Excerpt.Replicas = nil, nil
 	learner.ApplyKnowledge(k, now.Add(time.Second), now.Add(time.Second), "peer")
-	k, _ = teacher.Knowledge(learner.Have(), now)
+	k, _ = teacher.Knowledge(learner.KnowledgeRequest(), now)
 	require.NotNil(t, k.Listing)
 	learner.ApplyKnowledge(k, now.Add(2*time.Second), now.Add(2*time.Second), "peer")
 	assert.Equal(t, teacher.Replicas(), learner.Replicas())
-	assert.NotEmpty(t, learner.Have().PartHashes)
+	assert.NotEmpty(t, learner.KnowledgeRequest().PartHashes)
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -172,7 +172,7 @@
 	list[0].DataCentre = "north"
 	f, other := newWatcher(&fakeSource{}, 0), newWatcher(&fakeSource{}, 1)
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: list}, now)
-	known, _ := f.Knowledge(Have{}, now)
+	known, _ := f.Knowledge(KnowledgeRequest{}, now)
 	other.ApplyKnowledge(known, now, now, "peer")
 	assert.Equal(t, 2, other.balancer.ReadyCount("s"))
 
@@ -180,7 +180,7 @@
 	assert.Equal(t, 1, f.balancer.ReadyCount("s"))
 	word := f.Digest()
 	assert.True(t, other.ApplyPeerProof(word, now.Add(time.Second)), "it is news")
-	known, _ = f.Knowledge(Have{}, now.Add(time.Second))
+	known, _ = f.Knowledge(KnowledgeRequest{}, now.Add(time.Second))
 	other.ApplyKnowledge(known, now.Add(time.Second), now.Add(time.Second), "peer")
 	assert.Equal(t, 1, other.balancer.ReadyCount("s"))
 	assert.False(t, other.ApplyPeerProof(word, now.Add(2*time.Second)), "both know it")
