--- a/internal/watch/generation.go
+++ b/internal/watch/generation.go
@@ -23,11 +23,11 @@
 // A version of the configuration is never taken back, whatever the copy holds.
 
 var (
-	// ErrPast: what was read is of a life of the source that is over.
-	ErrPast = errors.New("follow: read of a source that was replaced by a copy")
-	// ErrDoubted: the source has come back from a copy, and the operator may not have
+	// ErrStaleGeneration: what was read is of a life of the source that is over.
+	ErrStaleGeneration = errors.New("follow: read of a source that was replaced by a copy")
+	// ErrUnproven: the source has come back from a copy, and the operator may not have
 	// written again yet.
-	ErrDoubted = errors.New("follow: nothing proves the configuration yet")
+	ErrUnproven = errors.New("follow: nothing proves the configuration yet")
 )
 
 // life is what is known of the source's lives. It is guarded by Watcher.mu.
@@ -73,15 +73,15 @@
 // acceptGeneration records the generation of a read that was sent at a time, or returns
 // ErrPast. w.mu is held.
 func (w *Watcher) acceptGeneration(s *Snapshot, sent time.Time) error {
-	if s.Untold && !w.life.untold {
+	if s.GenerationMissing && !w.life.untold {
 		w.log.Write(event.SourceUntold, event.F("generation", w.life.generation))
 	}
-	w.life.untold = s.Untold
-	fell := s.Falls > w.life.falls
-	w.life.falls = s.Falls
+	w.life.untold = s.GenerationMissing
+	fell := s.RevisionDrops > w.life.falls
+	w.life.falls = s.RevisionDrops
 	if w.isPastGeneration(s.Generation) {
 		w.log.Write(event.SourcePast, event.F("generation", s.Generation), event.F("known", w.life.generation))
-		return fmt.Errorf("%w: generation %d, known %d", ErrPast, s.Generation, w.life.generation)
+		return fmt.Errorf("%w: generation %d, known %d", ErrStaleGeneration, s.Generation, w.life.generation)
 	}
 	later := s.Generation > w.life.generation
 	if later {
--- a/internal/watch/generation_test.go
+++ b/internal/watch/generation_test.go
@@ -30,9 +30,13 @@
 	copies := map[string]struct {
 		snapshot func(list []directory.Replica) Snapshot
 	}{
-		"a later generation":              {func(l []directory.Replica) Snapshot { return listOf(2, 4, l) }},
-		"with an earlier configuration":   {func(l []directory.Replica) Snapshot { return listOf(2, 3, l) }},
-		"a revision that fell, untold":    {func(l []directory.Replica) Snapshot { s := listOf(1, 4, l); s.Falls, s.Untold = 1, true; return s }},
+		"a later generation":            {func(l []directory.Replica) Snapshot { return listOf(2, 4, l) }},
+		"with an earlier configuration": {func(l []directory.Replica) Snapshot { return listOf(2, 3, l) }},
+		"a revision that fell, untold": {func(l []directory.Replica) Snapshot {
+			s := listOf(1, 4, l)
+			s.RevisionDrops, s.GenerationMissing = 1, true
+			return s
+		}},
 		"with a later configuration than": {func(l []directory.Replica) Snapshot { return listOf(2, 5, l) }},
 	}
 	for name, test := range copies {
@@ -52,7 +56,7 @@
 					assert.Zero(t, f.ListAge(time.Now()), "the list is read all the same")
 					assert.Zero(t, f.Age(time.Now()))
 					ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
-					assert.ErrorIs(t, f.WaitFresh(ctx, time.Now()), ErrDoubted, "told at once")
+					assert.ErrorIs(t, f.WaitFresh(ctx, time.Now()), ErrUnproven, "told at once")
 					cancel()
 					time.Sleep(500 * time.Millisecond)
 				}
@@ -71,8 +75,8 @@
 	source := &fakeSource{snapshot: listOf(1, 9, list)}
 	f := newWatcher(source, 0)
 	require.NoError(t, f.ApplySnapshot(listOf(2, 4, draining(list, 0)), now.Add(-time.Hour)))
-	assert.ErrorIs(t, f.ApplySnapshot(listOf(1, 9, list), now), ErrPast)
-	assert.ErrorIs(t, f.readOnce(t.Context()), ErrPast)
+	assert.ErrorIs(t, f.ApplySnapshot(listOf(1, 9, list), now), ErrStaleGeneration)
+	assert.ErrorIs(t, f.readOnce(t.Context()), ErrStaleGeneration)
 	assert.ErrorIs(t, f.RefreshList(t.Context(), now), ErrNotRefreshed)
 	assert.EqualValues(t, 4, f.Digest().Version)
 	assert.False(t, f.Ready("a"))
@@ -85,7 +89,7 @@
 	f := newWatcher(&fakeSource{}, 0)
 	for n, untold := range []bool{false, true, true, false, true} {
 		s := listOf(3, 4, nil)
-		s.Untold = untold
+		s.GenerationMissing = untold
 		require.NoError(t, f.ApplySnapshot(s, time.Now().Add(time.Duration(n)*time.Second)))
 	}
 	assert.EqualValues(t, 2, f.log.Count(event.SourceUntold))
--- a/internal/watch/read.go
+++ b/internal/watch/read.go
@@ -107,7 +107,7 @@
 func (w *Watcher) WaitFresh(ctx context.Context, since time.Time) error {
 	for {
 		if w.holder.Doubted(steady.Now()) && w.holder.Current().Proven.Before(since) {
-			return ErrDoubted
+			return ErrUnproven
 		}
 		w.mu.Lock()
 		read := w.read
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -42,10 +42,10 @@
 	// Generation is which of the source's lives answered: it rises when the source comes
 	// back from a copy, without what was written since. 0: it does not say.
 	Generation uint64
-	// Falls counts how often the source was seen to come back without saying so; Untold:
+	// RevisionDrops counts how often the source was seen to come back without saying so; Untold:
 	// it said before which life it is in, and does no more.
-	Falls  uint64
-	Untold bool
+	RevisionDrops     uint64
+	GenerationMissing bool
 }
 
 // BadEntry is an entry that was not written by a replica.
