--- a/internal/watch/list.go
+++ b/internal/watch/list.go
@@ -36,7 +36,7 @@
 func (w *Watcher) MarkDraining(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.handleChanges(w.directory.MarkDraining(id))
+	w.handleChanges(w.directory.RemoveUnconfirmed(id))
 }
 
 // RefreshList returns once the list of replicas is newer than a time, or with an error
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -126,12 +126,12 @@
 	d := New(10*time.Second, 10*time.Second)
 	d.Replace(ready("a", "b", "c"), at(0))
 	d.Replace(ready("a"), at(1))
-	assert.Empty(t, d.MarkDraining("a"))
-	changes := d.MarkDraining("b")
+	assert.Empty(t, d.RemoveUnconfirmed("a"))
+	changes := d.RemoveUnconfirmed("b")
 	if assert.Len(t, changes, 1) {
 		assert.Equal(t, ConnectionsClosed, changes[0].Kind)
 	}
-	assert.Empty(t, d.MarkDraining("b"))
+	assert.Empty(t, d.RemoveUnconfirmed("b"))
 	assert.Equal(t, []bool{true, false, true}, []bool{d.Ready("a"), d.Ready("b"), d.Ready("c")})
 	d.Replace(ready("a", "b"), at(2))
 	assert.True(t, d.Ready("b"), "listed again, it had closed for another reason")
--- a/pkg/directory/unconfirmed.go
+++ b/pkg/directory/unconfirmed.go
@@ -53,9 +53,9 @@
 	return append(changes, Change{Replica: e.replica, Kind: Left})
 }
 
-// MarkDraining removes an unconfirmed replica that closed its connection, as one that
+// RemoveUnconfirmed removes an unconfirmed replica that closed its connection, as one that
 // leaves does, and returns what changed. For one that is listed the list decides.
-func (d *Directory) MarkDraining(id string) []Change {
+func (d *Directory) RemoveUnconfirmed(id string) []Change {
 	e, known := d.entries[id]
 	if !known || e.unconfirmedSince.IsZero() {
 		return nil
