--- a/internal/entry/subject.go
+++ b/internal/entry/subject.go
@@ -84,7 +84,7 @@
 	made, failed := e.watcher.Reads()
 	sent, received := e.gossip.Bytes()
 	marked, held := e.poison.Len()
-	draining, resting := e.watcher.Statements().Binding(steady.Now())
+	draining, resting := e.watcher.Statements().CountExcluded(steady.Now())
 	return []admin.Gauge{
 		{Name: "croftyard_config_version", Value: float64(e.watcher.Digest().Version)},
 		{Name: "croftyard_config_proof_ms", Value: float64(e.proofAge(steady.Now()).Milliseconds())},
--- a/internal/front/broken.go
+++ b/internal/front/broken.go
@@ -69,7 +69,7 @@
 // ReplicaRestarted notes that a replica started again under its id: what it broke off recently it
 // crashed under, and its earlier statements end.
 func (f *Front) ReplicaRestarted(id string, now time.Time) {
-	f.watcher.Statements().Restarted(id, now)
+	f.watcher.Statements().MarkRestarted(id, now)
 	for _, b := range f.broken.take(id, now) {
 		f.noteCrash(id, b, now)
 	}
--- a/pkg/directory/statements.go
+++ b/pkg/directory/statements.go
@@ -160,9 +160,9 @@
 	return !s.DrainingSince.IsZero() || now.Before(s.RestUntil)
 }
 
-// Binding returns how many listed replicas announced their shutdown, and how many more are
+// CountExcluded returns how many listed replicas announced their shutdown, and how many more are
 // at a rest that they asked for.
-func (s *Statements) Binding(now time.Time) (draining, resting int) {
+func (s *Statements) CountExcluded(now time.Time) (draining, resting int) {
 	s.eachBinding(now, func(_ string, said Statement) {
 		if !said.DrainingSince.IsZero() {
 			draining++
@@ -173,9 +173,9 @@
 	return draining, resting
 }
 
-// Restarted ends all statements of a replica that started again, as another router reported
+// MarkRestarted ends all statements of a replica that started again, as another router reported
 // at a time. A restart that a list has just shown is not counted twice.
-func (s *Statements) Restarted(id string, at time.Time) {
+func (s *Statements) MarkRestarted(id string, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if one := s.of[id]; one != nil && at.Sub(one.startListed) < sameRestart {
