--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -47,7 +47,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	w.balancer.SetReplicas(w.directory.List(), w.directory.Read())
+	w.balancer.SetReplicas(w.directory.List(), w.directory.ReadTime())
 	w.mark, w.plainMark = w.directory.Hash(directory.HashWithStarts), w.directory.Hash(directory.HashPlain)
 	w.notifyUpdate()
 	for _, c := range changes {
--- a/internal/watch/generation.go
+++ b/internal/watch/generation.go
@@ -87,7 +87,7 @@
 	if later {
 		w.life.generation, w.life.since = s.Generation, steady.Now()
 	}
-	if (later || fell) && !w.directory.Read().IsZero() {
+	if (later || fell) && !w.directory.ReadTime().IsZero() {
 		w.rewind(sent, w.directory.Hold())
 	}
 	return nil
@@ -140,7 +140,7 @@
 		w.life.generation, w.life.since = k.Generation, since
 	}
 	hold := since.Add(w.directory.Hold()).Sub(asked)
-	if later && hold > 0 && !w.directory.Read().IsZero() {
+	if later && hold > 0 && !w.directory.ReadTime().IsZero() {
 		w.rewind(asked, hold)
 	}
 	if k.Facts != nil && w.takesFacts() {
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -46,7 +46,7 @@
 	defer w.mu.Unlock()
 	digest := w.digest()
 	have := KnowledgeRequest{Version: digest.Version, ListHash: digest.ListHash, Facts: digest.Facts}
-	if !w.whole && !w.directory.Read().IsZero() {
+	if !w.whole && !w.directory.ReadTime().IsZero() {
 		have.PartHashes = w.directory.PartHashes(directory.HashWithStarts)
 	}
 	return have
@@ -69,10 +69,10 @@
 	case w.isPastGeneration(d.Generation) || d.Version < held.Table.Version():
 		return false
 	case !w.isMark(d.ListHash):
-		return proven.After(w.directory.Read())
+		return proven.After(w.directory.ReadTime())
 	}
 	own := held.Seen
-	if read := w.directory.Read(); read.Before(own) {
+	if read := w.directory.ReadTime(); read.Before(own) {
 		own = read
 	}
 	return proven.Sub(own) >= worthAsking
@@ -99,7 +99,7 @@
 		return false
 	}
 	if !w.isMark(d.ListHash) {
-		return proven.After(w.directory.Read())
+		return proven.After(w.directory.ReadTime())
 	}
 	// A list that was read alone may be newer than the proof; the configuration is
 	// proven all the same.
@@ -120,7 +120,7 @@
 		w.applyPeerConfig(k.Config, proven, from)
 	}
 	held := w.holder.Current()
-	if !current || held.Table == nil || held.Table.Version() != k.Version || !proven.After(w.directory.Read()) {
+	if !current || held.Table == nil || held.Table.Version() != k.Version || !proven.After(w.directory.ReadTime()) {
 		return
 	}
 	switch {
@@ -200,7 +200,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	state := w.holder.Current()
-	k := Knowledge{Version: state.Table.Version(), ListHash: w.mark, BaseHash: have.ListHash, ListRead: w.directory.Read(), Generation: w.life.generation}
+	k := Knowledge{Version: state.Table.Version(), ListHash: w.mark, BaseHash: have.ListHash, ListRead: w.directory.ReadTime(), Generation: w.life.generation}
 	if k.Generation != 0 {
 		k.GenerationAge = now.Sub(w.life.since)
 	}
--- a/internal/watch/list.go
+++ b/internal/watch/list.go
@@ -17,7 +17,7 @@
 func (w *Watcher) ListAge(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return now.Sub(w.directory.Read())
+	return now.Sub(w.directory.ReadTime())
 }
 
 // Unconfirmed returns for how long a replica has been missing from a list that may be
@@ -46,7 +46,7 @@
 func (w *Watcher) RefreshList(ctx context.Context, since time.Time) error {
 	wait := w.turns.Wait(w.place(), steady.Now())
 	w.mu.Lock()
-	if w.directory.Read().After(since) {
+	if w.directory.ReadTime().After(since) {
 		w.mu.Unlock()
 		return nil
 	}
@@ -73,7 +73,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.directory.Read().After(since) {
+	if w.directory.ReadTime().After(since) {
 		return nil
 	}
 	return ErrNotRefreshed
--- a/internal/watch/updates.go
+++ b/internal/watch/updates.go
@@ -14,7 +14,7 @@
 func (w *Watcher) Updates() (next <-chan struct{}, expected bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.updates, w.directory.Read().IsZero() || w.refreshing != nil
+	return w.updates, w.directory.ReadTime().IsZero() || w.refreshing != nil
 }
 
 // NextRead returns how long it is until this router would read the source itself.
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -159,14 +159,14 @@
 // age is Age with w.mu held. What a copy does not prove is passed on all the same; its
 // receivers distrust it for as long.
 func (w *Watcher) age(now time.Time) time.Duration {
-	return max(now.Sub(w.holder.Current().Seen), now.Sub(w.directory.Read()))
+	return max(now.Sub(w.holder.Current().Seen), now.Sub(w.directory.ReadTime()))
 }
 
 // Known tells whether a configuration and a list of replicas were ever read.
 func (w *Watcher) Known() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.holder.Current().Table != nil && !w.directory.Read().IsZero()
+	return w.holder.Current().Table != nil && !w.directory.ReadTime().IsZero()
 }
 
 // Replicas returns the replicas that are known.
--- a/pkg/directory/confirm_test.go
+++ b/pkg/directory/confirm_test.go
@@ -30,7 +30,7 @@
 			}
 			for _, seconds := range []float64{1, 9, 8, 30} {
 				assert.Equal(t, again.Replace(again.Listed(), at(seconds)), confirmed.Confirm(at(seconds)), "at %v", seconds)
-				assert.Equal(t, again.Read(), confirmed.Read())
+				assert.Equal(t, again.ReadTime(), confirmed.ReadTime())
 				assert.Equal(t, again.Hash(HashWithStarts), confirmed.Hash(HashWithStarts))
 				assert.Equal(t, again.Listing(), confirmed.Listing())
 				for _, since := range []float64{0, seconds, seconds + 1} {
--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -269,9 +269,9 @@
 	return list
 }
 
-// Read returns when the read that the directory rests on was sent; zero before
+// ReadTime returns when the read that the directory rests on was sent; zero before
 // the first.
-func (d *Directory) Read() time.Time { return d.read }
+func (d *Directory) ReadTime() time.Time { return d.read }
 
 // List returns all replicas, draining ones included, sorted by id.
 func (d *Directory) List() []Replica {
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -66,7 +66,7 @@
 	d.Replace(ready("a"), at(0))
 	assert.Empty(t, d.Confirm(at(2)))
 	assert.Empty(t, d.Confirm(at(4)))
-	assert.Equal(t, at(4), d.Read())
+	assert.Equal(t, at(4), d.ReadTime())
 	assert.Equal(t, map[string]ChangeKind{"a": Left}, changes(d.Replace(nil, at(6))), "there was no outage")
 }
 
