--- a/internal/watch/generation.go
+++ b/internal/watch/generation.go
@@ -88,7 +88,7 @@
 		w.life.generation, w.life.since = s.Generation, steady.Now()
 	}
 	if (later || fell) && !w.directory.ReadTime().IsZero() {
-		w.rewind(sent, w.directory.Hold())
+		w.rewind(sent, w.directory.HoldPeriod())
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 	if sent.After(now) {
 		now = sent
 	}
-	w.directory.Rewind(now, hold)
+	w.directory.NoteRewind(now, hold)
 	w.distrustProofs(now, hold)
 	w.bad = nil
 	w.life.returns++
@@ -118,13 +118,13 @@
 // have written again, while a hold lasts. w.mu is held.
 func (w *Watcher) distrustProofs(now time.Time, hold time.Duration) {
 	w.life.rewound = true
-	w.holder.Doubt(now.Add(hold - w.directory.Hold() + w.directory.Grace()))
+	w.holder.Doubt(now.Add(hold - w.directory.HoldPeriod() + w.directory.GracePeriod()))
 }
 
 // takesFacts reports whether another router's facts against the copy are applied: those of
 // one that was cut off until its writers have long written again are not. w.mu is held.
 func (w *Watcher) takesFacts() bool {
-	return w.life.generation == 0 || steady.Since(w.life.since) < w.directory.Hold()
+	return w.life.generation == 0 || steady.Since(w.life.since) < w.directory.HoldPeriod()
 }
 
 // applyGeneration applies another router's generation and its facts against a copy, as of
@@ -139,13 +139,13 @@
 	if later || k.Generation == w.life.generation && since.Before(w.life.since) {
 		w.life.generation, w.life.since = k.Generation, since
 	}
-	hold := since.Add(w.directory.Hold()).Sub(asked)
+	hold := since.Add(w.directory.HoldPeriod()).Sub(asked)
 	if later && hold > 0 && !w.directory.ReadTime().IsZero() {
 		w.rewind(asked, hold)
 	}
 	if k.Facts != nil && w.takesFacts() {
 		w.distrustProofs(asked, k.Facts.Left)
-		w.handleChanges(w.directory.Learn(*k.Facts, asked))
+		w.handleChanges(w.directory.ApplyFacts(*k.Facts, asked))
 	}
 	return true
 }
--- a/pkg/directory/rewind.go
+++ b/pkg/directory/rewind.go
@@ -57,11 +57,11 @@
 	evacuated []string
 }
 
-// Grace is for how long entries may lag behind what they tell.
-func (d *Directory) Grace() time.Duration { return d.grace }
+// GracePeriod is for how long entries may lag behind what they tell.
+func (d *Directory) GracePeriod() time.Duration { return d.grace }
 
-// Hold is for how long what was known holds against a copy.
-func (d *Directory) Hold() time.Duration { return holdGraces * d.grace }
+// HoldPeriod is for how long what was known holds against a copy.
+func (d *Directory) HoldPeriod() time.Duration { return holdGraces * d.grace }
 
 // departed is who left.
 type departed struct {
@@ -69,9 +69,9 @@
 	at   time.Time
 }
 
-// Rewind notes that the list came back from a copy by a time at the latest. What is known
+// NoteRewind notes that the list came back from a copy by a time at the latest. What is known
 // so far holds against it for a time.
-func (d *Directory) Rewind(by time.Time, hold time.Duration) {
+func (d *Directory) NoteRewind(by time.Time, hold time.Duration) {
 	d.hold(by, hold)
 	for id, e := range d.entries {
 		if e.replica.State == Draining {
@@ -133,10 +133,10 @@
 	return max(uint32(sum.Sum64()), 1)
 }
 
-// Learn takes what another router knew at a time against the list, and returns what
+// ApplyFacts takes what another router knew at a time against the list, and returns what
 // changes by it.
-func (d *Directory) Learn(f Facts, at time.Time) []Change {
-	d.hold(at, min(f.Left, d.Hold()))
+func (d *Directory) ApplyFacts(f Facts, at time.Time) []Change {
+	d.hold(at, min(f.Left, d.HoldPeriod()))
 	for _, r := range f.Replicas {
 		d.rewind.add(r)
 	}
--- a/pkg/directory/rewind_test.go
+++ b/pkg/directory/rewind_test.go
@@ -57,7 +57,7 @@
 			for n, list := range test.before {
 				d.Replace(list, at(float64(n+1)))
 			}
-			d.Rewind(at(5), d.Hold())
+			d.NoteRewind(at(5), d.HoldPeriod())
 			for _, second := range []float64{5, 6, 6.9} {
 				d.Replace(test.copied, at(second))
 				assert.Equal(t, test.sends, sends(d), "at %g s", second)
@@ -87,7 +87,7 @@
 	}
 	d := newRewound(north)
 	assert.Equal(t, []string{"b"}, read(d, 1, "north"))
-	d.Rewind(at(2), d.Hold())
+	d.NoteRewind(at(2), d.HoldPeriod())
 	assert.Equal(t, []string{"b"}, read(d, 2), "the copy lacks it")
 	assert.Equal(t, []string{"b"}, read(d, 5.9))
 	assert.Equal(t, []string{"a", "b"}, read(d, 6), "it was taken back")
@@ -95,7 +95,7 @@
 	d = newRewound(north)
 	read(d, 1, "north")
 	assert.Equal(t, []string{"a", "b"}, read(d, 2))
-	d.Rewind(at(3), d.Hold())
+	d.NoteRewind(at(3), d.HoldPeriod())
 	assert.Equal(t, []string{"b"}, read(d, 3, "north"), "the copy has one that was taken back: it may be asked for again")
 	assert.Equal(t, []string{"a", "b"}, read(d, 4))
 }
@@ -104,7 +104,7 @@
 func TestACopyIsNoStart(t *testing.T) {
 	counted := func(n uint64) []Replica { return with(ready("a"), "a", func(r *Replica) { r.Counted = n }) }
 	d := newRewound(counted(50))
-	d.Rewind(at(1), d.Hold())
+	d.NoteRewind(at(1), d.HoldPeriod())
 	assert.Empty(t, d.Replace(counted(40), at(1)))
 	assert.Empty(t, d.Replace(counted(51), at(2)), "it has written again")
 	assert.Equal(t, map[string]ChangeKind{"a": Restarted}, changes(d.Replace(counted(3), at(6))))
@@ -114,7 +114,7 @@
 	cold := with(ready("a"), "a", func(r *Replica) { r.Cold, r.ColdLeft, r.Entry = true, 8*time.Second, 7 })
 	warm := with(ready("a"), "a", func(r *Replica) { r.Entry = 3 })
 	d := newRewound(cold)
-	d.Rewind(at(1), d.Hold())
+	d.NoteRewind(at(1), d.HoldPeriod())
 	d.Replace(warm, at(1))
 	assert.Equal(t, at(8), d.List()[0].ColdUntil)
 	d.Replace(warm, at(2))
@@ -126,7 +126,7 @@
 	copied := with(ready("a", "b", "c", "d"), "d", func(r *Replica) { r.DataCentre = "north" })
 	knew := newRewound(copied)
 	knew.Apply(Listing{Replicas: with(copied[1:], "b", drains), Evacuated: []string{"north"}}, at(1))
-	knew.Rewind(at(2), knew.Hold())
+	knew.NoteRewind(at(2), knew.HoldPeriod())
 	knew.Replace(copied, at(2))
 	fresh := newRewound(nil)
 	fresh.Apply(Listing{Replicas: copied}, at(2.1))
@@ -137,13 +137,13 @@
 	assert.Zero(t, fresh.FactsHash(at(2.2)))
 	facts, held := knew.Facts(at(2.2))
 	assert.True(t, held)
-	fresh.Learn(facts, at(2.2))
+	fresh.ApplyFacts(facts, at(2.2))
 	assert.Equal(t, []string{"c"}, sends(fresh), "at once")
 	assert.Equal(t, knew.Hash(HashWithStarts), fresh.Hash(HashWithStarts))
 	assert.Equal(t, knew.FactsHash(at(2.3)), fresh.FactsHash(at(2.3)))
 	fresh.Apply(Listing{Replicas: copied}, at(3))
 	assert.Equal(t, []string{"c"}, sends(fresh), "its own reads change nothing")
-	assert.Empty(t, fresh.Learn(facts, at(3.1)), "what is known is no news")
+	assert.Empty(t, fresh.ApplyFacts(facts, at(3.1)), "what is known is no news")
 	fresh.Apply(Listing{Replicas: copied}, at(7.2))
 	assert.Equal(t, []string{"a", "b", "c", "d"}, sends(fresh), "no longer than theirs, but for the way")
 	assert.Zero(t, fresh.FactsHash(at(7.2)))
@@ -155,13 +155,13 @@
 	one.Replace(with(list, "a", drains), at(1))
 	two.Replace(list[2:], at(1))
 	for _, d := range []*Directory{one, two} {
-		d.Rewind(at(2), d.Hold())
+		d.NoteRewind(at(2), d.HoldPeriod())
 		d.Replace(list, at(2))
 	}
 	ones, _ := one.Facts(at(2))
 	twos, _ := two.Facts(at(2))
-	one.Learn(twos, at(2))
-	two.Learn(ones, at(2))
+	one.ApplyFacts(twos, at(2))
+	two.ApplyFacts(ones, at(2))
 	assert.Equal(t, []string{"c", "d", "e"}, sends(one))
 	assert.Equal(t, []string{"c", "d", "e"}, sends(two))
 	assert.Equal(t, one.FactsHash(at(3)), two.FactsHash(at(3)))
@@ -175,12 +175,12 @@
 	drained.Replace(with(list, "a", drains), at(1))
 	left.Replace(list[1:], at(1))
 	for _, d := range []*Directory{drained, left} {
-		d.Rewind(at(2), d.Hold())
+		d.NoteRewind(at(2), d.HoldPeriod())
 		d.Replace(list, at(2))
 	}
 	assert.NotEqual(t, drained.FactsHash(at(2)), left.FactsHash(at(2)))
 	facts, _ := left.Facts(at(2))
-	drained.Learn(facts, at(2))
+	drained.ApplyFacts(facts, at(2))
 	assert.Equal(t, left.FactsHash(at(2)), drained.FactsHash(at(2)))
 	assert.Equal(t, left.Hash(HashWithStarts), drained.Hash(HashWithStarts))
 }
@@ -189,7 +189,7 @@
 	d := newRewound(ready("a", "b"))
 	d.Replace(ready("b"), at(1))
 	d.Replace(ready("b"), at(40))
-	d.Rewind(at(40), d.Hold())
+	d.NoteRewind(at(40), d.HoldPeriod())
 	d.Replace(ready("a", "b"), at(40))
 	assert.Equal(t, []string{"a", "b"}, sends(d))
 
