--- a/internal/gossip/corpus_test.go
+++ b/internal/gossip/corpus_test.go
@@ -74,7 +74,7 @@
 			corpus(t, build, "excerpt", &excerpt)
 			k, err = decodeKnowledge(&excerpt, watch.KnowledgeRequest{PartHashes: make([]uint32, 16)})
 			require.NoError(t, err)
-			assert.Equal(t, []uint32{2, 5}, k.Excerpt.Differ)
+			assert.Equal(t, []uint32{2, 5}, k.Excerpt.DifferingParts)
 		})
 	}
 }
--- a/internal/gossip/excerpt_test.go
+++ b/internal/gossip/excerpt_test.go
@@ -44,7 +44,7 @@
 	have := watch.KnowledgeRequest{ListHash: 7, PartHashes: make([]uint32, 16)}
 	k, err := decodeKnowledge(&gossippb.KnowledgeReply{Replicas: text, Parts: 16, Differ: []uint32{3}}, have)
 	require.NoError(t, err)
-	assert.Equal(t, &directory.Excerpt{Parts: 16, Differ: []uint32{3}}, k.Excerpt)
+	assert.Equal(t, &directory.Excerpt{PartCount: 16, DifferingParts: []uint32{3}}, k.Excerpt)
 	assert.EqualValues(t, 7, k.BaseHash)
 	_, err = decodeKnowledge(&gossippb.KnowledgeReply{Replicas: text, Parts: 32}, have)
 	assert.ErrorIs(t, err, ErrMalformed)
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -150,7 +150,7 @@
 	case reply.Parts == 0:
 		k.Listing = &listing
 	case int(reply.Parts) == len(have.PartHashes):
-		k.Excerpt = &directory.Excerpt{Parts: int(reply.Parts), Differ: reply.Differ, Listing: listing}
+		k.Excerpt = &directory.Excerpt{PartCount: int(reply.Parts), DifferingParts: reply.Differ, Listing: listing}
 	default:
 		return k, fmt.Errorf("%w: %d parts of a list, asked for %d", ErrMalformed, reply.Parts, len(have.PartHashes))
 	}
--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -173,7 +173,7 @@
 	}
 	switch {
 	case k.Excerpt != nil:
-		reply.Parts, reply.Differ = uint32(k.Excerpt.Parts), k.Excerpt.Differ
+		reply.Parts, reply.Differ = uint32(k.Excerpt.PartCount), k.Excerpt.DifferingParts
 		reply.Replicas, err = pack(&k.Excerpt.Listing)
 	case k.Listing != nil:
 		reply.Replicas, err = packOnce(&g.listing, listKey{k.ListHash, k.ListRead}, k.Listing)
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -127,7 +127,7 @@
 	case k.Listing != nil:
 		w.applyListing(*k.Listing, k.ListHash, proven)
 	case k.Excerpt != nil && k.BaseHash == w.mark:
-		w.applyListing(w.directory.With(*k.Excerpt), k.ListHash, proven)
+		w.applyListing(w.directory.MergeExcerpt(*k.Excerpt), k.ListHash, proven)
 	case k.Excerpt == nil && w.isMark(k.ListHash):
 		w.handleChanges(w.directory.Confirm(proven))
 	default:
@@ -220,7 +220,7 @@
 	}
 	if len(have.PartHashes) > 0 {
 		excerpt := w.directory.Excerpt(form, have.PartHashes)
-		if len(excerpt.Differ) <= int(mostParts*float64(excerpt.Parts)) {
+		if len(excerpt.DifferingParts) <= int(mostParts*float64(excerpt.PartCount)) {
 			k.Excerpt = &excerpt
 			return k, w.age(now)
 		}
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -68,7 +68,7 @@
 	now := time.Now()
 	teacher, learner := teacherAndLearner(now)
 	k, _ := teacher.Knowledge(learner.KnowledgeRequest(), now)
-	k.Excerpt.Differ, k.Excerpt.Replicas = nil, nil
+	k.Excerpt.DifferingParts, k.Excerpt.Replicas = nil, nil
 	learner.ApplyKnowledge(k, now.Add(time.Second), now.Add(time.Second), "peer")
 	k, _ = teacher.Knowledge(learner.KnowledgeRequest(), now)
 	require.NotNil(t, k.Listing)
--- a/pkg/directory/parts.go
+++ b/pkg/directory/parts.go
@@ -19,10 +19,10 @@
 
 // Excerpt is what one list has that another has not: some of its parts, whole.
 type Excerpt struct {
-	// Parts is into how many parts both lists were divided, Differ the numbers of those
+	// PartCount is into how many parts both lists were divided, Differ the numbers of those
 	// that are sent.
-	Parts  int
-	Differ []uint32
+	PartCount      int
+	DifferingParts []uint32
 	Listing
 }
 
@@ -140,12 +140,12 @@
 // Excerpt returns the parts of what the last read listed that differ from a list of
 // some sums in a form.
 func (d *Directory) Excerpt(f HashFormat, theirs []uint32) Excerpt {
-	x := Excerpt{Parts: len(theirs)}
+	x := Excerpt{PartCount: len(theirs)}
 	differs := make([]bool, len(theirs))
 	for i, sum := range d.sums(f, len(theirs)) {
 		if sum != theirs[i] {
 			differs[i] = true
-			x.Differ = append(x.Differ, uint32(i))
+			x.DifferingParts = append(x.DifferingParts, uint32(i))
 		}
 	}
 	x.Replicas = d.listed(func(e *entry) bool { return differs[e.part(len(theirs))] })
@@ -153,11 +153,11 @@
 	return x
 }
 
-// With returns what the last read listed, with the parts of an excerpt in the place of
+// MergeExcerpt returns what the last read listed, with the parts of an excerpt in the place of
 // its own.
-func (d *Directory) With(x Excerpt) Listing {
-	differ := make([]bool, x.Parts)
-	for _, part := range x.Differ {
+func (d *Directory) MergeExcerpt(x Excerpt) Listing {
+	differ := make([]bool, x.PartCount)
+	for _, part := range x.DifferingParts {
 		if int(part) < len(differ) {
 			differ[part] = true
 		}
--- a/pkg/directory/parts_test.go
+++ b/pkg/directory/parts_test.go
@@ -51,8 +51,8 @@
 			theirs.Apply(Listing{Replicas: list}, at(0))
 			mine.Apply(Listing{Replicas: changeSome(list, changes, random), Evacuated: []string{"2"}}, at(1))
 			excerpt := mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts))
-			assert.LessOrEqual(t, len(excerpt.Differ), changes, "%d of %d", changes, size)
-			theirs.Apply(theirs.With(excerpt), at(1))
+			assert.LessOrEqual(t, len(excerpt.DifferingParts), changes, "%d of %d", changes, size)
+			theirs.Apply(theirs.MergeExcerpt(excerpt), at(1))
 			assert.Equal(t, mine.Hash(HashWithStarts), theirs.Hash(HashWithStarts), "%d of %d", changes, size)
 			assert.Equal(t, mine.PartHashes(HashWithStarts), theirs.PartHashes(HashWithStarts))
 			assert.True(t, slices.Equal(mine.List(), theirs.List()), "%d of %d", changes, size)
@@ -70,7 +70,7 @@
 	cold[0].Entry, cold[0].ColdLeft = 1, time.Minute
 	mine.Replace(cold, at(0))
 	assert.Equal(t, mine.Hash(HashWithStarts), theirs.Hash(HashWithStarts))
-	theirs.Apply(theirs.With(mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts))), at(0))
+	theirs.Apply(theirs.MergeExcerpt(mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts))), at(0))
 	assert.Equal(t, at(60), theirs.List()[0].ColdUntil)
 }
 
@@ -81,9 +81,9 @@
 	theirs.Replace(ready("a", "b", "c"), at(0))
 	mine.Replace(nil, at(10))
 	theirs.Replace(nil, at(10))
-	assert.Empty(t, mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts)).Differ)
+	assert.Empty(t, mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts)).DifferingParts)
 	mine.Replace(ready("b"), at(11))
-	theirs.Apply(theirs.With(mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts))), at(11))
+	theirs.Apply(theirs.MergeExcerpt(mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts))), at(11))
 	assert.Equal(t, mine.List(), theirs.List())
 	assert.Len(t, theirs.List(), 3)
 }
@@ -92,8 +92,8 @@
 func TestPartsThatThereAreNotAreLeftOut(t *testing.T) {
 	d := New(time.Hour, time.Hour)
 	d.Replace(ready("a"), at(0))
-	assert.Equal(t, d.Listing(), d.With(Excerpt{Parts: 2, Differ: []uint32{7}}))
-	assert.Equal(t, d.Listing(), d.With(Excerpt{}))
+	assert.Equal(t, d.Listing(), d.MergeExcerpt(Excerpt{PartCount: 2, DifferingParts: []uint32{7}}))
+	assert.Equal(t, d.Listing(), d.MergeExcerpt(Excerpt{}))
 }
 
 // A build that knows nothing of starts names the same list in another form.
@@ -113,12 +113,12 @@
 	assert.NotEqual(t, old.Hash(HashWithStarts), newer.Hash(HashWithStarts))
 	assert.Equal(t, HashPlain, newer.DetectHashFormat(old.PartHashes(HashWithStarts)))
 	assert.Equal(t, HashWithStarts, newer.DetectHashFormat(newer.PartHashes(HashWithStarts)))
-	assert.Empty(t, newer.Excerpt(HashPlain, old.PartHashes(HashWithStarts)).Differ)
+	assert.Empty(t, newer.Excerpt(HashPlain, old.PartHashes(HashWithStarts)).DifferingParts)
 
 	plain[3].State = Draining
 	old.Replace(plain, at(1))
 	assert.Equal(t, HashPlain, newer.DetectHashFormat(old.PartHashes(HashWithStarts)), "also where a part differs")
-	assert.Len(t, newer.Excerpt(HashPlain, old.PartHashes(HashWithStarts)).Differ, 1)
+	assert.Len(t, newer.Excerpt(HashPlain, old.PartHashes(HashWithStarts)).DifferingParts, 1)
 	newer.Apply(newer.FillStartTimes(old.Listing()), at(1))
 	assert.Equal(t, old.Hash(HashPlain), newer.Hash(HashPlain))
 	assert.EqualValues(t, 4, newer.List()[slices.IndexFunc(newer.List(), func(r Replica) bool { return r.ID == "i-3" })].Born, "what it told nothing of is still known")
