--- a/internal/front/oldlist_test.go
+++ b/internal/front/oldlist_test.go
@@ -133,7 +133,7 @@
 	take(testListAge, foreign...)
 	take(0)
 	r.setListProof(testListProof)
-	require.Len(t, r.watcher.Unlisted(time.Now().Add(-testListProof)), 2)
+	require.Len(t, r.watcher.NotListedSince(time.Now().Add(-testListProof)), 2)
 	response, text, err := r.send(t, "POST", "/single/x", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
--- a/internal/watch/outage.go
+++ b/internal/watch/outage.go
@@ -133,12 +133,12 @@
 	return silent
 }
 
-// Unlisted returns the replicas that no list read since a time names, without unconfirmed
+// NotListedSince returns the replicas that no list read since a time names, without unconfirmed
 // ones of an outage that was seen here.
-func (w *Watcher) Unlisted(since time.Time) []string {
+func (w *Watcher) NotListedSince(since time.Time) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.directory.Unlisted(since, w.outage.seen)
+	return w.directory.NotListedSince(since, w.outage.seen)
 }
 
 // Exclusions returns those of a service's replicas that are listed as ready and get no new
--- a/internal/watch/unconfirmed_test.go
+++ b/internal/watch/unconfirmed_test.go
@@ -67,7 +67,7 @@
 
 // kept tells whether a replica may be used by what is known of the list.
 func kept(f *Watcher, id string) bool {
-	return f.Ready(id) && !slices.Contains(f.Unlisted(time.Now().Add(-cutLimit)), id)
+	return f.Ready(id) && !slices.Contains(f.NotListedSince(time.Now().Add(-cutLimit)), id)
 }
 
 func TestAReplicaThatLeavesBehindACutGetsNothingPastTheBound(t *testing.T) {
--- a/pkg/directory/confirm_test.go
+++ b/pkg/directory/confirm_test.go
@@ -34,7 +34,7 @@
 				assert.Equal(t, again.Hash(HashWithStarts), confirmed.Hash(HashWithStarts))
 				assert.Equal(t, again.Listing(), confirmed.Listing())
 				for _, since := range []float64{0, seconds, seconds + 1} {
-					assert.ElementsMatch(t, again.Unlisted(at(since), at(0)), confirmed.Unlisted(at(since), at(0)), "since %v", since)
+					assert.ElementsMatch(t, again.NotListedSince(at(since), at(0)), confirmed.NotListedSince(at(since), at(0)), "since %v", since)
 				}
 			}
 		})
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -110,14 +110,14 @@
 	d.Replace(ready("a", "b", "c"), at(0))
 	d.Replace(ready("a"), at(1))
 	assert.Len(t, d.List(), 3, "two vanished at once and are doubted")
-	assert.Empty(t, d.Unlisted(at(0), time.Time{}))
-	assert.ElementsMatch(t, []string{"b", "c"}, d.Unlisted(at(0.5), time.Time{}))
-	assert.ElementsMatch(t, []string{"b", "c"}, d.Unlisted(at(0.5), at(-1)), "an outage before says nothing")
-	assert.Empty(t, d.Unlisted(at(0.5), at(0.5)), "the list was lost after they were listed")
-	assert.Empty(t, d.Unlisted(at(0.9), at(0.5)), "the read without them is young enough")
-	assert.ElementsMatch(t, []string{"a", "b", "c"}, d.Unlisted(at(1.5), at(1.2)), "neither a listed one nor so old a doubt is excused")
+	assert.Empty(t, d.NotListedSince(at(0), time.Time{}))
+	assert.ElementsMatch(t, []string{"b", "c"}, d.NotListedSince(at(0.5), time.Time{}))
+	assert.ElementsMatch(t, []string{"b", "c"}, d.NotListedSince(at(0.5), at(-1)), "an outage before says nothing")
+	assert.Empty(t, d.NotListedSince(at(0.5), at(0.5)), "the list was lost after they were listed")
+	assert.Empty(t, d.NotListedSince(at(0.9), at(0.5)), "the read without them is young enough")
+	assert.ElementsMatch(t, []string{"a", "b", "c"}, d.NotListedSince(at(1.5), at(1.2)), "neither a listed one nor so old a doubt is excused")
 	d.Replace(ready("a", "b", "c"), at(2))
-	assert.Empty(t, d.Unlisted(at(2), time.Time{}))
+	assert.Empty(t, d.NotListedSince(at(2), time.Time{}))
 }
 
 // A replica's own sign that it leaves counts for one that no list names; what is listed is
--- a/pkg/directory/listing.go
+++ b/pkg/directory/listing.go
@@ -52,11 +52,11 @@
 	return xxhash.Sum64(fmt.Appendf(nil, "%d %q", replicas, d.evacuated))
 }
 
-// Unlisted returns the ids of the replicas that no read sent since a time names. An
+// NotListedSince returns the ids of the replicas that no read sent since a time names. An
 // unconfirmed one is left out if the list was seen to be unavailable after it was last
 // named, and the first read without it was sent since that time: behind a partition, one
 // that leaves looks like one whose entry lapsed, and the time to drain runs from that read.
-func (d *Directory) Unlisted(since, lost time.Time) []string {
+func (d *Directory) NotListedSince(since, lost time.Time) []string {
 	if !d.oldest.Before(since) {
 		return nil
 	}
--- a/pkg/directory/restart_test.go
+++ b/pkg/directory/restart_test.go
@@ -70,7 +70,7 @@
 	for _, id := range []string{"a", "b", "c"} {
 		assert.False(t, d.Ready(id))
 	}
-	assert.Empty(t, d.Unlisted(begin.Add(time.Second/2), time.Time{}))
+	assert.Empty(t, d.NotListedSince(begin.Add(time.Second/2), time.Time{}))
 	d.Replace(good, begin.Add(2*time.Second))
 	assert.True(t, d.Ready("a"))
 }
