--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -198,7 +198,7 @@
 	now := steady.Now()
 	e.watcher.Statements().MarkResting("a", now, now.Add(time.Hour), now)
 	state = e.State()
-	assert.Equal(t, string(directory.RestAsked), state.Replicas[0].Excluded)
+	assert.Equal(t, string(directory.RestRequested), state.Replicas[0].Excluded)
 	assert.Positive(t, state.Replicas[0].ExcludedMS)
 }
 
--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -110,7 +110,7 @@
 // list or by its own statement.
 func (f *Front) leavesAsPlanned(id string) bool {
 	x, excluded := f.Exclusion(id, steady.Now())
-	return excluded && x.Reason != directory.RestAsked && x.Reason != directory.ListTooOld
+	return excluded && x.Reason != directory.RestRequested && x.Reason != directory.NotListedRecently
 }
 
 // noteAbandoned records that the request was taken from a silent replica, which may go on
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -48,7 +48,7 @@
 		if !found {
 			x, allExcluded = c.exclusionOf(excluded)
 		}
-		if allExcluded && x.Reason == directory.ListTooOld {
+		if allExcluded && x.Reason == directory.NotListedRecently {
 			c.giveUp(refuseStale("list of replicas too old"))
 			return
 		}
--- a/internal/watch/outage.go
+++ b/internal/watch/outage.go
@@ -160,9 +160,9 @@
 func (w *Watcher) conditions(limit time.Duration, now time.Time) directory.Conditions {
 	return directory.Conditions{
 		Now:              now,
-		Limit:            limit,
+		MaxListAge:       limit,
 		StoreUnavailable: sync.OnceValue(func() bool { return w.storeUnavailable(limit, now) }),
-		SeenUnavailable:  w.outage.seen,
+		LastUnavailable:  w.outage.seen,
 	}
 }
 
--- a/pkg/directory/bench_test.go
+++ b/pkg/directory/bench_test.go
@@ -24,7 +24,7 @@
 			for i := range binding {
 				d.Statements().MarkResting(list[i].ID, now, now.Add(time.Hour), now)
 			}
-			c := Conditions{Now: now, Limit: testLimit}
+			c := Conditions{Now: now, MaxListAge: testLimit}
 			for b.Loop() {
 				d.Exclusions("0", c)
 				d.Exclusion("7599", c)
--- a/pkg/directory/eligibility.go
+++ b/pkg/directory/eligibility.go
@@ -18,13 +18,13 @@
 
 // The reasons.
 const (
-	NotListed         Reason = "not listed"
-	EntryUnusable     Reason = "entry unusable"
-	ListedDraining    Reason = "listed as draining"
-	CentreEvacuated   Reason = "data centre evacuated"
-	ShutdownAnnounced Reason = "announced its shutdown"
-	RestAsked         Reason = "asked for rest"
-	ListTooOld        Reason = "not listed recently"
+	NotListed           Reason = "not listed"
+	EntryUnusable       Reason = "entry unusable"
+	ListedDraining      Reason = "listed as draining"
+	DataCentreEvacuated Reason = "data centre evacuated"
+	ShutdownAnnounced   Reason = "announced its shutdown"
+	RestRequested       Reason = "asked for rest"
+	NotListedRecently   Reason = "not listed recently"
 )
 
 // Exclusion tells that a replica gets no new requests, and why.
@@ -40,15 +40,15 @@
 // Conditions are what eligibility depends on besides the directory.
 type Conditions struct {
 	Now time.Time
-	// Limit is the greatest age of a list by which requests are sent, and for how long a
+	// MaxListAge is the greatest age of a list by which requests are sent, and for how long a
 	// replica may serve on that announced its shutdown. 0: lists do not age, and such a
 	// replica gets nothing.
-	Limit time.Duration
+	MaxListAge time.Duration
 	// StoreUnavailable tells whether no router has had an answer of the list's store for
 	// Limit; nil: one has. It is asked only where it matters.
 	StoreUnavailable func() bool
-	// SeenUnavailable is when that was last so.
-	SeenUnavailable time.Time
+	// LastUnavailable is when that was last so.
+	LastUnavailable time.Time
 }
 
 // Exclusion tells whether a replica gets no new requests. Of several reasons the first
@@ -87,7 +87,7 @@
 			list = append(list, x)
 		}
 	})
-	if c.Limit == 0 || !d.oldest.Before(c.Now.Add(-c.Limit)) {
+	if c.MaxListAge == 0 || !d.oldest.Before(c.Now.Add(-c.MaxListAge)) {
 		return list
 	}
 	for _, e := range d.entries {
@@ -110,7 +110,7 @@
 	case e.replica.State == Draining:
 		x.Reason = ListedDraining
 	case slices.Contains(d.evacuated, e.replica.DataCentre):
-		x.Reason = CentreEvacuated
+		x.Reason = DataCentreEvacuated
 	default:
 		return Exclusion{}, false
 	}
@@ -124,9 +124,9 @@
 	switch {
 	case !said.DrainingSince.IsZero():
 		x.Reason, x.Since = ShutdownAnnounced, said.DrainingSince
-		x.LastResort = !rests && c.Now.Sub(said.DrainingSince) < c.Limit
+		x.LastResort = !rests && c.Now.Sub(said.DrainingSince) < c.MaxListAge
 	case rests:
-		x.Reason, x.Until = RestAsked, said.RestUntil
+		x.Reason, x.Until = RestRequested, said.RestUntil
 	default:
 		return Exclusion{}, false
 	}
@@ -137,8 +137,8 @@
 // it within the limit, and neither was it seen serving. While the store is unavailable
 // nobody can know more, and all may be used.
 func (d *Directory) byAge(e *entry, c Conditions) (Exclusion, bool) {
-	since := c.Now.Add(-c.Limit)
-	if c.Limit == 0 || !e.unlisted(since, c.SeenUnavailable) {
+	since := c.Now.Add(-c.MaxListAge)
+	if c.MaxListAge == 0 || !e.unlisted(since, c.LastUnavailable) {
 		return Exclusion{}, false
 	}
 	// A list that is young enough decides: some replicas that leave announce nothing and go
@@ -151,5 +151,5 @@
 			return Exclusion{}, false
 		}
 	}
-	return Exclusion{ID: e.replica.ID, Reason: ListTooOld, Since: e.listed}, true
+	return Exclusion{ID: e.replica.ID, Reason: NotListedRecently, Since: e.listed}, true
 }
--- a/pkg/directory/eligibility_test.go
+++ b/pkg/directory/eligibility_test.go
@@ -65,7 +65,7 @@
 }
 
 func (e *events) ask(unavailable bool) (Exclusion, bool) {
-	return e.d.Exclusion("a", Conditions{Now: e.now, Limit: testLimit, StoreUnavailable: func() bool { return unavailable }})
+	return e.d.Exclusion("a", Conditions{Now: e.now, MaxListAge: testLimit, StoreUnavailable: func() bool { return unavailable }})
 }
 
 // sentBefore makes the next answer one to a request that was sent so long ago.
@@ -76,7 +76,7 @@
 
 // among tells whether the replica is one of all that are excluded.
 func (e *events) among(unavailable bool) bool {
-	for _, x := range e.d.Exclusions("s", Conditions{Now: e.now, Limit: testLimit, StoreUnavailable: func() bool { return unavailable }}) {
+	for _, x := range e.d.Exclusions("s", Conditions{Now: e.now, MaxListAge: testLimit, StoreUnavailable: func() bool { return unavailable }}) {
 		if x.ID == "a" {
 			return true
 		}
@@ -88,7 +88,7 @@
 // replica.
 func byListOnly(r Reason) bool {
 	switch r {
-	case NotListed, EntryUnusable, ListedDraining, CentreEvacuated:
+	case NotListed, EntryUnusable, ListedDraining, DataCentreEvacuated:
 		return true
 	}
 	return false
@@ -124,20 +124,20 @@
 			e.ready(2).leaves().after(time.Second).list(0, e.entry(Draining, 1)).after(time.Second).ready(2)
 		}, false, ShutdownAnnounced, false},
 		"leaving, a read of before": {func(e *events) { e.ready(1).leaves().after(time.Second).list(900*time.Millisecond, e.entry(Ready, 1)) }, false, ShutdownAnnounced, true},
-		"at rest, listed as ready":  {func(e *events) { e.ready(1).rests(5 * time.Second).after(4 * time.Second).ready(1) }, false, RestAsked, false},
+		"at rest, listed as ready":  {func(e *events) { e.ready(1).rests(5 * time.Second).after(4 * time.Second).ready(1) }, false, RestRequested, false},
 		"at rest, a shorter one asked for later": {func(e *events) {
 			e.ready(1).rests(5 * time.Second).after(time.Second).rests(time.Second).after(3 * time.Second).ready(1)
-		}, false, RestAsked, false},
+		}, false, RestRequested, false},
 		"rest over":           {func(e *events) { e.ready(1).rests(5 * time.Second).after(5 * time.Second).ready(1) }, false, "", false},
-		"rest over, list old": {func(e *events) { e.ready(1).rests(5 * time.Second).after(5 * time.Second) }, false, ListTooOld, false},
-		"at rest, list old, the store unavailable":    {func(e *events) { e.ready(1).rests(5 * time.Second).after(4 * time.Second) }, true, RestAsked, false},
+		"rest over, list old": {func(e *events) { e.ready(1).rests(5 * time.Second).after(5 * time.Second) }, false, NotListedRecently, false},
+		"at rest, list old, the store unavailable":    {func(e *events) { e.ready(1).rests(5 * time.Second).after(4 * time.Second) }, true, RestRequested, false},
 		"at rest, then a later start":                 {func(e *events) { e.ready(1).rests(time.Hour).after(time.Second).ready(2) }, false, "", false},
 		"leaving and at rest":                         {func(e *events) { e.ready(1).leaves().rests(time.Second) }, false, ShutdownAnnounced, false},
-		"list old":                                    {func(e *events) { e.ready(1).after(testLimit + 1) }, false, ListTooOld, false},
+		"list old":                                    {func(e *events) { e.ready(1).after(testLimit + 1) }, false, NotListedRecently, false},
 		"list old, seen serving":                      {func(e *events) { e.ready(1).after(testLimit + 1).serves() }, false, "", false},
-		"list old, seen serving, then leaving":        {func(e *events) { e.ready(1).after(testLimit + 1).serves().leaves() }, false, ListTooOld, false},
+		"list old, seen serving, then leaving":        {func(e *events) { e.ready(1).after(testLimit + 1).serves().leaves() }, false, NotListedRecently, false},
 		"list old, the store unavailable":             {func(e *events) { e.ready(1).after(testLimit + 1) }, true, "", false},
-		"list old, seen serving before a later start": {func(e *events) { e.ready(1).serves().after(time.Second).ready(2).after(testLimit + 1) }, false, ListTooOld, false},
+		"list old, seen serving before a later start": {func(e *events) { e.ready(1).serves().after(time.Second).ready(2).after(testLimit + 1) }, false, NotListedRecently, false},
 		"entry unusable, seen serving":                {func(e *events) { e.ready(1).serves().list(0, Replica{ID: "a", State: Unusable}) }, false, EntryUnusable, false},
 	}
 	for name, test := range tests {
@@ -194,7 +194,7 @@
 				case leaving:
 					want = ShutdownAnnounced
 				case e.now.Before(restUntil):
-					want = RestAsked
+					want = RestRequested
 				}
 				if x.Reason != want || excluded != (want != "") {
 					t.Fatalf("%q, want %q", x.Reason, want)
