--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -173,7 +173,7 @@
 // as they are; a change of them is logged as waiting for the next start.
 func (e *Entry) Reload(s settings.Settings) {
 	restart := s.Name != e.settings.Name || s.DataCentre != e.settings.DataCentre || s.Listen != e.settings.Listen
-	e.watcher.Set(e.source(s), e.followOptions(s))
+	e.watcher.Reconfigure(e.source(s), e.followOptions(s))
 	e.bounds.Store(&s.Bounds)
 	e.front.SetLimits(frontLimits(s.Bounds))
 	e.poison.SetLimits(poisonLimits(s.Routes))
@@ -215,7 +215,7 @@
 
 // Ready tells whether the router should get new connections.
 func (e *Entry) Ready() bool {
-	if e.stopping.Load() || !e.watcher.Known() || e.taker.starved(steady.Now()) {
+	if e.stopping.Load() || !e.watcher.Initialized() || e.taker.starved(steady.Now()) {
 		return false
 	}
 	return e.proven()
@@ -324,7 +324,7 @@
 	e.log.Write(event.Woke, event.F("slept_ms", slept.Milliseconds()), event.F("in_flight", e.front.ActiveRequests()))
 	e.front.RestartTimers()
 	e.pool.DropIdle()
-	e.watcher.ReadSoon()
+	e.watcher.TriggerRead()
 }
 
 // tidy writes when the router is first ready and closes connections that
@@ -344,7 +344,7 @@
 			ready = now
 			e.log.Write(event.Ready, event.F("ready", ready), event.F("proof_ms", e.watcher.Staleness(steady.Now()).Milliseconds()))
 		}
-		if now := e.proven(); now != proven && e.watcher.Known() {
+		if now := e.proven(); now != proven && e.watcher.Initialized() {
 			proven = now
 			id := event.ProofOld
 			if proven {
--- a/internal/entry/recall.go
+++ b/internal/entry/recall.go
@@ -30,7 +30,7 @@
 		e.gossip.SetHoldersKnown()
 		return
 	}
-	if !e.waitUntil(ctx, e.watcher.Known) {
+	if !e.waitUntil(ctx, e.watcher.Initialized) {
 		return
 	}
 	meeting, cancel := context.WithTimeout(ctx, peerWait)
--- a/internal/entry/subject.go
+++ b/internal/entry/subject.go
@@ -68,7 +68,7 @@
 
 // proofAge is the age of the proof, or -1 ms while nothing is known.
 func (e *Entry) proofAge(now time.Time) time.Duration {
-	if !e.watcher.Known() {
+	if !e.watcher.Initialized() {
 		return -time.Millisecond
 	}
 	return e.watcher.Staleness(now)
--- a/internal/front/resumed_test.go
+++ b/internal/front/resumed_test.go
@@ -22,7 +22,7 @@
 	r.front.SetLimits(limits)
 	r.source.fallSilent()
 	// A source that answers nobody is asked again when the router's turn has come.
-	r.watcher.Set(r.source, watch.Options{Period: 200 * time.Millisecond, Timeout: time.Second})
+	r.watcher.Reconfigure(r.source, watch.Options{Period: 200 * time.Millisecond, Timeout: time.Second})
 	defer steady.Pretend(10 * time.Second)()
 	for _, path := range []string{"/single/x", "/open/x", "/unknown/x"} {
 		answer, _, err := r.send(t, http.MethodPost, path, "body")
--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -209,6 +209,6 @@
 	teller.gossip.partners.RelayTo = []string{told.gossip.Address()}
 	teller.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a")}, time.Now())
 	teller.gossip.tellNews(time.Now())
-	until(t, told.watcher.Known)
+	until(t, told.watcher.Initialized)
 	assert.Zero(t, told.source.reads)
 }
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -118,7 +118,7 @@
 		return
 	}
 	g.watcher.ApplyKnowledge(knowledge, asked, asked.Add(-milliseconds(reply.GetProofMs())), address)
-	if len(reply.Part) > 0 && g.watcher.Known() {
+	if len(reply.Part) > 0 && g.watcher.Initialized() {
 		g.balancer.MergeHolders(decodeHolders(reply.Part, reply.Holder), steady.Now())
 		g.recalled.Store(true)
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -148,7 +148,7 @@
 	read := time.Now()
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a", "b")}, read)
 	for _, r := range []*router{second, third} {
-		until(t, r.watcher.Known)
+		until(t, r.watcher.Initialized)
 		assert.EqualValues(t, 4, r.holder.Current().Table.Version())
 		until(t, func() bool { return r.balancer.ReadyCount("s") == 2 })
 		assert.False(t, r.holder.Current().Proven.After(read), "a proof gains nothing on its way")
--- a/internal/gossip/life_test.go
+++ b/internal/gossip/life_test.go
@@ -58,13 +58,13 @@
 	lost, other := newRestingRouter(t, &source{}), newRestingRouter(t, &source{})
 	lost.watcher.ObservePeerFailure(steady.Now().Add(-time.Minute))
 	lost.hears(t, other)
-	age, failed := other.watcher.Failure(steady.Now())
+	age, failed := other.watcher.LastFailure(steady.Now())
 	assert.True(t, failed)
 	assert.GreaterOrEqual(t, age, time.Minute)
 	assert.Less(t, age, 2*time.Minute)
 	require.NoError(t, other.watcher.ApplySnapshot(watch.Snapshot{Config: config(4)}, steady.Now()))
 	other.hears(t, lost)
-	_, failed = other.watcher.Failure(steady.Now())
+	_, failed = other.watcher.LastFailure(steady.Now())
 	assert.False(t, failed)
 }
 
--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -68,7 +68,7 @@
 // knows returns what this router knows and how old the proof is, which is nil before
 // there is one.
 func (g *Gossip) knows(now time.Time) (word watch.Digest, proofMs *uint32) {
-	if !g.watcher.Known() {
+	if !g.watcher.Initialized() {
 		return word, nil
 	}
 	age := uint32(g.watcher.Age(now).Milliseconds()) + 1
@@ -77,7 +77,7 @@
 
 // tellsKnown adds to a digest what this router knows.
 func (g *Gossip) tellsKnown(d *gossippb.Digest, now time.Time) {
-	if age, failed := g.watcher.Failure(now); failed {
+	if age, failed := g.watcher.LastFailure(now); failed {
 		milliseconds := uint32(age.Milliseconds())
 		d.ReadFailedMs = &milliseconds
 	}
@@ -137,7 +137,7 @@
 
 // Knowledge implements the generated interface.
 func (g *Gossip) Knowledge(_ context.Context, r *gossippb.KnowledgeRequest) (*gossippb.KnowledgeReply, error) {
-	if !g.watcher.Known() {
+	if !g.watcher.Initialized() {
 		return &gossippb.KnowledgeReply{}, nil
 	}
 	k, age := g.watcher.Knowledge(watch.KnowledgeRequest{Version: r.Version, ListHash: r.Mark, Facts: r.Facts, PartHashes: r.Sums}, steady.Now())
--- a/internal/gossip/teach_test.go
+++ b/internal/gossip/teach_test.go
@@ -37,9 +37,9 @@
 	teacher.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a")}, time.Now())
 	require.True(t, teacher.gossip.teaching.take(1<<30, time.Now()))
 	learner.gossip.learn(t.Context(), teacher.gossip.Address())
-	assert.False(t, learner.watcher.Known(), "a refusal says nothing")
+	assert.False(t, learner.watcher.Initialized(), "a refusal says nothing")
 	assert.EqualValues(t, 1, teacher.gossip.RefusedRequests())
 	teacher.gossip.teaching.until = time.Time{}
 	learner.gossip.learn(t.Context(), teacher.gossip.Address())
-	assert.True(t, learner.watcher.Known())
+	assert.True(t, learner.watcher.Initialized())
 }
--- a/internal/watch/outage.go
+++ b/internal/watch/outage.go
@@ -65,9 +65,9 @@
 	w.turns.ObserveSuccess(sent)
 }
 
-// Failure returns how long ago a read failed last, here or elsewhere, that is newer than
+// LastFailure returns how long ago a read failed last, here or elsewhere, that is newer than
 // any with an answer; false if none is. Gossip carries it to other routers.
-func (w *Watcher) Failure(now time.Time) (age time.Duration, failed bool) {
+func (w *Watcher) LastFailure(now time.Time) (age time.Duration, failed bool) {
 	last := w.turns.LastFailure()
 	return now.Sub(last), !last.IsZero()
 }
--- a/internal/watch/outage_test.go
+++ b/internal/watch/outage_test.go
@@ -96,7 +96,7 @@
 		assert.False(t, f.StoreUnavailable(testLimit, time.Now()))
 		hear(time.Now().Add(-time.Second))
 		assert.True(t, f.StoreUnavailable(testLimit, time.Now()))
-		age, failed := f.Failure(time.Now())
+		age, failed := f.LastFailure(time.Now())
 		assert.True(t, failed)
 		assert.Equal(t, time.Second, age, "what is passed on grows old on its way")
 
@@ -105,7 +105,7 @@
 		other.ObservePeerFailure(time.Now())
 		assert.False(t, other.StoreUnavailable(testLimit, time.Now()), "each tries for itself before it believes it")
 		require.NoError(t, f.ApplySnapshot(Snapshot{Config: config(1)}, time.Now().Add(time.Millisecond)))
-		_, failed = f.Failure(time.Now())
+		_, failed = f.LastFailure(time.Now())
 		assert.False(t, failed, "another was answered")
 		assert.False(t, f.SourceFailing())
 	})
--- a/internal/watch/read.go
+++ b/internal/watch/read.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// ReadSoon has the source read at once, unless it is known to answer nobody.
-func (w *Watcher) ReadSoon() {
+// TriggerRead has the source read at once, unless it is known to answer nobody.
+func (w *Watcher) TriggerRead() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -115,7 +115,7 @@
 		if !w.holder.Current().Proven.Before(since) {
 			return nil
 		}
-		w.ReadSoon()
+		w.TriggerRead()
 		select {
 		case <-read:
 		case <-ctx.Done():
--- a/internal/watch/updates_test.go
+++ b/internal/watch/updates_test.go
@@ -73,7 +73,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newWatcher(&fakeSource{}, 0)
 		f.ApplySnapshot(Snapshot{Config: config(1), Replicas: replicas("a")}, time.Now())
-		f.Set(&fakeSource{}, Options{Period: time.Second, Timeout: time.Second})
+		f.Reconfigure(&fakeSource{}, Options{Period: time.Second, Timeout: time.Second})
 		assert.Equal(t, 850*time.Millisecond, f.NextRead(time.Now()))
 		time.Sleep(time.Second)
 		assert.Zero(t, f.NextRead(time.Now()))
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -127,12 +127,12 @@
 		read:      make(chan struct{}),
 		updates:   make(chan struct{}),
 	}
-	w.Set(s, o)
+	w.Reconfigure(s, o)
 	return w
 }
 
-// Set changes the source and the options while the watcher runs.
-func (w *Watcher) Set(s Source, o Options) {
+// Reconfigure changes the source and the options while the watcher runs.
+func (w *Watcher) Reconfigure(s Source, o Options) {
 	w.source.Store(&s)
 	w.options.Store(&o)
 	w.turns.SetPeriod(o.Period)
@@ -162,8 +162,8 @@
 	return max(now.Sub(w.holder.Current().Seen), now.Sub(w.directory.ReadTime()))
 }
 
-// Known tells whether a configuration and a list of replicas were ever read.
-func (w *Watcher) Known() bool {
+// Initialized tells whether a configuration and a list of replicas were ever read.
+func (w *Watcher) Initialized() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.holder.Current().Table != nil && !w.directory.ReadTime().IsZero()
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -89,7 +89,7 @@
 				defer cancel()
 				source := &fakeSource{snapshot: Snapshot{Config: config(1), Replicas: replicas("a")}}
 				f := newWatcher(source, 2)
-				f.Set(source, Options{Period: time.Second, Timeout: time.Second, FirstRead: time.Second})
+				f.Reconfigure(source, Options{Period: time.Second, Timeout: time.Second, FirstRead: time.Second})
 				go f.Run(ctx)
 				time.Sleep(900 * time.Millisecond)
 				assert.Zero(t, source.reads.Load())
@@ -99,7 +99,7 @@
 				}
 				time.Sleep(200 * time.Millisecond)
 				assert.Equal(t, !told, source.reads.Load() == 1)
-				assert.True(t, f.Known())
+				assert.True(t, f.Initialized())
 			})
 		})
 	}
@@ -128,7 +128,7 @@
 		synctest.Wait()
 		assert.True(t, f.SourceFailing())
 		assert.EqualValues(t, 9, source.reads.Load())
-		assert.False(t, f.Known())
+		assert.False(t, f.Initialized())
 		cancel()
 	})
 }
