--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -29,7 +29,7 @@
 	for _, e := range entries {
 		bad[e.Key] = e.Revision
 		if w.bad[e.Key] != e.Revision {
-			w.log.Write(event.ReplicaUnreadable, event.F("key", e.Key), event.F("revision", e.Revision), event.F("error", e.Problem))
+			w.log.Write(event.ReplicaUnreadable, event.F("key", e.Key), event.F("revision", e.Revision), event.F("error", e.Err))
 		}
 	}
 	w.bad = bad
@@ -76,8 +76,8 @@
 }
 
 func (w *Watcher) applyConfig(s Snapshot, sent time.Time) {
-	if s.Problem != nil {
-		w.log.Write(event.ConfigRejected, event.F("error", s.Problem))
+	if s.ConfigErr != nil {
+		w.log.Write(event.ConfigRejected, event.F("error", s.ConfigErr))
 		return
 	}
 	held := w.holder.Current()
--- a/internal/watch/bad_test.go
+++ b/internal/watch/bad_test.go
@@ -28,7 +28,7 @@
 	take := func(n int, replicas []directory.Replica, revisions ...uint64) {
 		s := Snapshot{Config: &route.Config{Version: 1}, Replicas: replicas}
 		for _, revision := range revisions {
-			s.BadReplicas = append(s.BadReplicas, BadEntry{Key: "k", Revision: revision, Problem: errors.New("spoilt")})
+			s.BadReplicas = append(s.BadReplicas, BadEntry{Key: "k", Revision: revision, Err: errors.New("spoilt")})
 		}
 		f.ApplySnapshot(s, time.Now().Add(time.Duration(n)*time.Millisecond))
 	}
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -31,8 +31,8 @@
 // Snapshot is what one read of a source returned.
 type Snapshot struct {
 	// Config is nil if it could not be decoded; Problem then tells why.
-	Config  *route.Config
-	Problem error
+	Config    *route.Config
+	ConfigErr error
 	// Replicas are all that are listed, BadReplicas those of them whose entries say
 	// nothing that can be used.
 	Replicas    []directory.Replica
@@ -53,7 +53,7 @@
 	Key string
 	// Revision rises when the entry is written anew.
 	Revision uint64
-	Problem  error
+	Err      error
 }
 
 // listing is what the snapshot lists.
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -137,7 +137,7 @@
 	f := newWatcher(&fakeSource{}, 0)
 	now := time.Now()
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas("a")}, now)
-	f.ApplySnapshot(Snapshot{Problem: errors.New("no JSON"), Replicas: replicas("a", "b")}, now.Add(time.Second))
+	f.ApplySnapshot(Snapshot{ConfigErr: errors.New("no JSON"), Replicas: replicas("a", "b")}, now.Add(time.Second))
 	bad := config(5)
 	bad.Routes = []route.Route{{Name: "r"}}
 	f.ApplySnapshot(Snapshot{Config: bad, Replicas: replicas("a", "b")}, now.Add(2*time.Second))
@@ -208,6 +208,6 @@
 	f.holder.Prove(4, now.Add(time.Second))
 	assert.Equal(t, time.Second, f.Staleness(now.Add(2*time.Second)))
 	assert.Equal(t, 2*time.Second, f.Age(now.Add(2*time.Second)))
-	f.ApplySnapshot(Snapshot{Problem: errors.New("no JSON"), Replicas: replicas("a")}, now.Add(3*time.Second))
+	f.ApplySnapshot(Snapshot{ConfigErr: errors.New("no JSON"), Replicas: replicas("a")}, now.Add(3*time.Second))
 	assert.Equal(t, 3*time.Second, f.Age(now.Add(4*time.Second)))
 }
