--- a/pkg/directory/restart.go
+++ b/pkg/directory/restart.go
@@ -32,5 +32,5 @@
 	if r.Born != 0 && old.Born != 0 {
 		return r.Born != old.Born
 	}
-	return r.Counted != 0 && r.Counted < old.Counted && !d.rewound(d.read)
+	return r.Counter != 0 && r.Counter < old.Counter && !d.rewound(d.read)
 }
