--- a/internal/gossip/corpus_test.go
+++ b/internal/gossip/corpus_test.go
@@ -40,7 +40,7 @@
 		t.Run(build, func(t *testing.T) {
 			var d, a gossippb.Datagram
 			corpus(t, build, "datagram", &d)
-			word := watch.Digest{Version: 12, ListHash: 99, Generation: want.generation, Facts: d.Digest.GetFacts()}
+			word := watch.Digest{Version: 12, ListHash: 99, Generation: want.generation, FactsHash: d.Digest.GetFacts()}
 			assert.Equal(t, word, wordOf(d.Digest))
 			told := decode(d.Digest, steady.Now())
 			assert.Len(t, told.Running, 2)
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -102,7 +102,7 @@
 	defer g.learning.Store(false)
 	asked := steady.Now()
 	have := g.watcher.KnowledgeRequest()
-	request := &gossippb.KnowledgeRequest{Version: have.Version, Mark: have.ListHash, Facts: have.Facts, Sums: have.PartHashes, Holders: !g.recalled.Load()}
+	request := &gossippb.KnowledgeRequest{Version: have.Version, Mark: have.ListHash, Facts: have.FactsHash, Sums: have.PartHashes, Holders: !g.recalled.Load()}
 	var reply *gossippb.KnowledgeReply
 	err := g.client.Control(ctx, address, peer.Bound{Call: learnTimeout}, func(ctx context.Context, conn drpc.Conn) (err error) {
 		reply, err = gossippb.NewDRPCGossipClient(conn).Knowledge(ctx, request)
--- a/internal/gossip/forms.go
+++ b/internal/gossip/forms.go
@@ -15,7 +15,7 @@
 	if d.ProofMs == nil {
 		return
 	}
-	plain, known := g.watcher.UsesPlainForm(d.Mark)
+	plain, known := g.watcher.UsesPlainHash(d.Mark)
 	if !known {
 		return
 	}
@@ -56,6 +56,6 @@
 		return d
 	}
 	plain := proto.CloneOf(d)
-	plain.Mark = g.watcher.PlainMark()
+	plain.Mark = g.watcher.PlainHash()
 	return plain
 }
--- a/internal/gossip/life_test.go
+++ b/internal/gossip/life_test.go
@@ -76,7 +76,7 @@
 		list[i].Born = int64(i + 1)
 	}
 	require.NoError(t, r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list}, steady.Now()))
-	word, plain := r.watcher.Digest(), r.watcher.PlainMark()
+	word, plain := r.watcher.Digest(), r.watcher.PlainHash()
 	require.NotEqual(t, word.ListHash, plain)
 	told := uint32(1)
 	for _, step := range []struct {
--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -59,9 +59,9 @@
 	}
 	word, age := g.knows(now)
 	if g.plain[d.Sender] {
-		word.ListHash = g.watcher.PlainMark()
+		word.ListHash = g.watcher.PlainHash()
 	}
-	reply.Version, reply.Mark, reply.Generation, reply.Facts, reply.ProofMs = word.Version, word.ListHash, word.Generation, word.Facts, age
+	reply.Version, reply.Mark, reply.Generation, reply.Facts, reply.ProofMs = word.Version, word.ListHash, word.Generation, word.FactsHash, age
 	return reply
 }
 
@@ -82,7 +82,7 @@
 		d.ReadFailedMs = &milliseconds
 	}
 	word, age := g.knows(now)
-	d.Version, d.Mark, d.Generation, d.Facts, d.ProofMs = word.Version, word.ListHash, word.Generation, word.Facts, age
+	d.Version, d.Mark, d.Generation, d.Facts, d.ProofMs = word.Version, word.ListHash, word.Generation, word.FactsHash, age
 }
 
 // wordOf is what a digest or an answer says that its sender knows.
@@ -92,7 +92,7 @@
 	GetGeneration() uint64
 	GetFacts() uint32
 }) watch.Digest {
-	return watch.Digest{Version: m.GetVersion(), ListHash: m.GetMark(), Generation: m.GetGeneration(), Facts: m.GetFacts()}
+	return watch.Digest{Version: m.GetVersion(), ListHash: m.GetMark(), Generation: m.GetGeneration(), FactsHash: m.GetFacts()}
 }
 
 // merge takes what a router tells of itself or of its line.
@@ -140,7 +140,7 @@
 	if !g.watcher.Initialized() {
 		return &gossippb.KnowledgeReply{}, nil
 	}
-	k, age := g.watcher.Knowledge(watch.KnowledgeRequest{Version: r.Version, ListHash: r.Mark, Facts: r.Facts, PartHashes: r.Sums}, steady.Now())
+	k, age := g.watcher.Knowledge(watch.KnowledgeRequest{Version: r.Version, ListHash: r.Mark, FactsHash: r.Facts, PartHashes: r.Sums}, steady.Now())
 	milliseconds := uint32(age.Milliseconds()) + 1
 	reply := &gossippb.KnowledgeReply{Version: k.Version, Mark: k.ListHash, Generation: k.Generation, ProofMs: &milliseconds}
 	reply.GenerationAgeMs = uint32(min(k.GenerationAge, maxGenerationAge).Milliseconds())
--- a/internal/watch/generation.go
+++ b/internal/watch/generation.go
@@ -50,8 +50,8 @@
 	ListHash uint64
 	// Generation is the source's, 0 if it tells none.
 	Generation uint64
-	// Facts names what is held against a copy, 0 for nothing.
-	Facts uint32
+	// FactsHash names what is held against a copy, 0 for nothing.
+	FactsHash uint32
 }
 
 // Digest returns a summary of what is known.
@@ -63,7 +63,7 @@
 
 // digest is Digest with w.mu held.
 func (w *Watcher) digest() Digest {
-	d := Digest{ListHash: w.mark, Generation: w.life.generation, Facts: w.directory.FactsHash(steady.Now())}
+	d := Digest{ListHash: w.mark, Generation: w.life.generation, FactsHash: w.directory.FactsHash(steady.Now())}
 	if table := w.holder.Current().Table; table != nil {
 		d.Version = table.Version()
 	}
--- a/internal/watch/generation_test.go
+++ b/internal/watch/generation_test.go
@@ -155,7 +155,7 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		for _, f := range all {
-			assert.Zero(t, f.Digest().Facts)
+			assert.Zero(t, f.Digest().FactsHash)
 			assert.LessOrEqual(t, f.Staleness(time.Now()), time.Second)
 			assert.Equal(t, fresh.Digest(), f.Digest())
 			assert.False(t, f.Ready("b"))
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -34,8 +34,8 @@
 // KnowledgeRequest is what a router has that asks another one for its knowledge.
 type KnowledgeRequest struct {
 	Version, ListHash uint64
-	// Facts names what it holds against a copy.
-	Facts uint32
+	// FactsHash names what it holds against a copy.
+	FactsHash uint32
 	// PartHashes are of the parts of its list; without them it takes the whole one.
 	PartHashes []uint32
 }
@@ -45,7 +45,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	digest := w.digest()
-	have := KnowledgeRequest{Version: digest.Version, ListHash: digest.ListHash, Facts: digest.Facts}
+	have := KnowledgeRequest{Version: digest.Version, ListHash: digest.ListHash, FactsHash: digest.FactsHash}
 	if !w.whole && !w.directory.ReadTime().IsZero() {
 		have.PartHashes = w.directory.PartHashes(directory.HashWithStarts)
 	}
@@ -82,7 +82,7 @@
 // a newer version, a later generation of the source, or other facts against its copy. w.mu is held.
 func (w *Watcher) isNewer(d Digest) bool {
 	own := w.digest()
-	facts := d.Facts != 0 && d.Facts != own.Facts && d.Generation >= own.Generation && w.takesFacts()
+	facts := d.FactsHash != 0 && d.FactsHash != own.FactsHash && d.Generation >= own.Generation && w.takesFacts()
 	return d.Version > own.Version || d.Generation > own.Generation || facts
 }
 
@@ -162,16 +162,16 @@
 // older one. w.mu is held.
 func (w *Watcher) isMark(mark uint64) bool { return mark == w.mark || mark == w.plainMark }
 
-// UsesPlainForm reports whether a router that names a list by a mark is of a build that
+// UsesPlainHash reports whether a router that names a list by a mark is of a build that
 // knows no starts; known is false where the mark does not show it.
-func (w *Watcher) UsesPlainForm(mark uint64) (plain, known bool) {
+func (w *Watcher) UsesPlainHash(mark uint64) (plain, known bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return mark == w.plainMark, w.mark != w.plainMark && w.isMark(mark)
 }
 
-// PlainMark returns the mark of the list as older builds have it.
-func (w *Watcher) PlainMark() uint64 {
+// PlainHash returns the mark of the list as older builds have it.
+func (w *Watcher) PlainHash() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.plainMark
@@ -204,7 +204,7 @@
 	if k.Generation != 0 {
 		k.GenerationAge = now.Sub(w.life.since)
 	}
-	if facts, held := w.directory.Facts(now); held && w.directory.FactsHash(now) != have.Facts {
+	if facts, held := w.directory.Facts(now); held && w.directory.FactsHash(now) != have.FactsHash {
 		k.Facts = &facts
 	}
 	if k.Version > have.Version {
