--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -57,9 +57,9 @@
 	// Born is when it started, in Unix milliseconds by its own clock, so that a later
 	// one is a later start; 0 if it is not known.
 	Born int64 `json:",omitempty"`
-	// Counter is one more than how far it says that it has counted since its start, known
+	// NextSequence is one more than how far it says that it has counted since its start, known
 	// to who read the list itself; 0 if it is not known.
-	Counter uint64 `json:"-"`
+	NextSequence uint64 `json:"-"`
 }
 
 // Listing is what one read lists.
@@ -185,7 +185,7 @@
 	switch {
 	case r.State == Unusable:
 		// When it started and how far it counted holds on, for its own next entry.
-		r.Born, r.Counter = old.replica.Born, old.replica.Counter
+		r.Born, r.NextSequence = old.replica.Born, old.replica.NextSequence
 		if what = ""; old.replica.State != Unusable {
 			what = EntryInvalidated
 		}
@@ -206,8 +206,8 @@
 	case !old.unconfirmedSince.IsZero():
 		what = ListedAgain
 	}
-	if r.Counter == 0 || d.rewound(d.read) {
-		r.Counter = max(r.Counter, old.replica.Counter)
+	if r.NextSequence == 0 || d.rewound(d.read) {
+		r.NextSequence = max(r.NextSequence, old.replica.NextSequence)
 	}
 	if what != "" {
 		changes = append(changes, Change{Replica: r, Kind: what})
--- a/pkg/directory/restart.go
+++ b/pkg/directory/restart.go
@@ -32,5 +32,5 @@
 	if r.Born != 0 && old.Born != 0 {
 		return r.Born != old.Born
 	}
-	return r.Counter != 0 && r.Counter < old.Counter && !d.rewound(d.read)
+	return r.NextSequence != 0 && r.NextSequence < old.NextSequence && !d.rewound(d.read)
 }
--- a/pkg/directory/restart_test.go
+++ b/pkg/directory/restart_test.go
@@ -11,7 +11,7 @@
 func TestLivesOfAReplica(t *testing.T) {
 	const grace = 2500 * time.Millisecond
 	entry := func(born int64, counted uint64, state State) Replica {
-		r := Replica{ID: "a", Service: "s", Address: "10.0.0.1:1", State: state, Born: born, Counter: counted}
+		r := Replica{ID: "a", Service: "s", Address: "10.0.0.1:1", State: state, Born: born, NextSequence: counted}
 		if state == Unusable {
 			r = Replica{ID: "a", State: Unusable}
 		}
@@ -79,7 +79,7 @@
 func TestSpoiltEntriesHaveTheSameSumsEverywhere(t *testing.T) {
 	begin := time.Now()
 	saw, other := New(time.Hour, time.Hour), New(time.Hour, time.Hour)
-	saw.Replace([]Replica{{ID: "a", Service: "s", Address: "a:1", Born: 1000, Counter: 3}}, begin)
+	saw.Replace([]Replica{{ID: "a", Service: "s", Address: "a:1", Born: 1000, NextSequence: 3}}, begin)
 	for _, d := range []*Directory{saw, other} {
 		d.Replace([]Replica{{ID: "a", State: Unusable, Entry: 5}}, begin.Add(time.Second))
 	}
@@ -92,7 +92,7 @@
 	d.Replace([]Replica{{ID: "a", Service: "s", Address: "a:1"}}, time.Now())
 	before := d.Hash(HashWithStarts)
 	later := New(time.Hour, time.Hour)
-	later.Replace([]Replica{{ID: "a", Service: "s", Address: "a:1", Counter: 9}}, time.Now())
+	later.Replace([]Replica{{ID: "a", Service: "s", Address: "a:1", NextSequence: 9}}, time.Now())
 	assert.Equal(t, before, later.Hash(HashWithStarts))
 	later.Replace([]Replica{{ID: "a", Service: "s", Address: "a:1", Born: 9}}, time.Now())
 	assert.NotEqual(t, before, later.Hash(HashWithStarts))
--- a/pkg/directory/rewind_test.go
+++ b/pkg/directory/rewind_test.go
@@ -102,7 +102,7 @@
 
 // An earlier count in a copy is no start: a start forgets what a replica holds.
 func TestACopyIsNoStart(t *testing.T) {
-	counted := func(n uint64) []Replica { return with(ready("a"), "a", func(r *Replica) { r.Counter = n }) }
+	counted := func(n uint64) []Replica { return with(ready("a"), "a", func(r *Replica) { r.NextSequence = n }) }
 	d := newRewound(counted(50))
 	d.NoteRewind(at(1), d.HoldPeriod())
 	assert.Empty(t, d.Replace(counted(40), at(1)))
