--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -30,7 +30,7 @@
 		if c.organisation != nil {
 			caller = c.organisation.Name
 		}
-		digest := poison.Of(caller, c.request.Method, c.request.Host, c.request.RequestURI, c.body)
+		digest := poison.NewDigest(caller, c.request.Method, c.request.Host, c.request.RequestURI, c.body)
 		c.named = &digest
 	}
 	return *c.named
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -69,7 +69,7 @@
 
 // mark notes crashes against the request that send makes to a path with a body.
 func (r *rig) mark(path, body string, crashes int) poison.Digest {
-	digest := poison.Of("acme", http.MethodPost, "h", path, []byte(body))
+	digest := poison.NewDigest("acme", http.MethodPost, "h", path, []byte(body))
 	r.front.poison.SetLimits(poison.Limits{Crashes: 3, Hold: time.Minute})
 	for n := range crashes {
 		r.front.poison.Crashed(digest, uint32(n+1), time.Now(), time.Now())
@@ -207,7 +207,7 @@
 			r := newStillRig(t)
 			r.front.poison.SetLimits(poison.Limits{Crashes: 3, Hold: time.Minute})
 			now := time.Now()
-			digest := poison.Of("acme", "POST", "h", "/", nil)
+			digest := poison.NewDigest("acme", "POST", "h", "/", nil)
 			r.front.broken.note("a", brokenRequest{digest: digest, at: now, state: test.state}, now)
 			test.tell(r.front, now.Add(test.after))
 			test.tell(r.front, now.Add(test.after))
--- a/internal/gossip/marks_test.go
+++ b/internal/gossip/marks_test.go
@@ -12,7 +12,7 @@
 )
 
 var (
-	deadly   = poison.Of("acme", "POST", "h", "/", []byte("deadly"))
+	deadly   = poison.NewDigest("acme", "POST", "h", "/", []byte("deadly"))
 	askedFor = poison.Limits{Crashes: 3, Hold: time.Minute}
 )
 
--- a/internal/router/poison.go
+++ b/internal/router/poison.go
@@ -37,7 +37,7 @@
 	if method == "" {
 		method = http.MethodPost
 	}
-	return poison.Of(job.Group.Organisation, method, "", r.Path, r.Body)
+	return poison.NewDigest(job.Group.Organisation, method, "", r.Path, r.Body)
 }
 
 // suspicion refuses a request that is taken to crash what runs it.
--- a/pkg/poison/digest.go
+++ b/pkg/poison/digest.go
@@ -17,9 +17,9 @@
 // String returns the digest as it stands in logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Of returns the digest of a request: of the organisation that sent it, empty if none
+// NewDigest returns the digest of a request: of the organisation that sent it, empty if none
 // is known, its method, host and target (path and query as sent) and its whole body.
-func Of(caller, method, host, target string, body []byte) Digest {
+func NewDigest(caller, method, host, target string, body []byte) Digest {
 	hash := sha256.New()
 	// Each field's length stands before it, so that none can be taken for a part of the
 	// next one.
--- a/pkg/poison/digest_test.go
+++ b/pkg/poison/digest_test.go
@@ -7,18 +7,18 @@
 )
 
 func TestDigestsDifferWithEachField(t *testing.T) {
-	same := Of("acme", "POST", "h", "/a?b", []byte("body"))
-	assert.Equal(t, same, Of("acme", "POST", "h", "/a?b", []byte("body")))
+	same := NewDigest("acme", "POST", "h", "/a?b", []byte("body"))
+	assert.Equal(t, same, NewDigest("acme", "POST", "h", "/a?b", []byte("body")))
 	for name, other := range map[string]Digest{
-		"caller":                  Of("other", "POST", "h", "/a?b", []byte("body")),
-		"method":                  Of("acme", "PUT", "h", "/a?b", []byte("body")),
-		"host":                    Of("acme", "POST", "g", "/a?b", []byte("body")),
-		"target":                  Of("acme", "POST", "h", "/a?c", []byte("body")),
-		"body":                    Of("acme", "POST", "h", "/a?b", []byte("bodz")),
-		"no body":                 Of("acme", "POST", "h", "/a?b", nil),
-		"a field's end moved":     Of("acmeP", "OST", "h", "/a?b", []byte("body")),
-		"the target's end moved":  Of("acme", "POST", "h", "/a?bb", []byte("ody")),
-		"the organisation's name": Of("acme\x00POST", "", "h", "/a?b", []byte("body")),
+		"caller":                  NewDigest("other", "POST", "h", "/a?b", []byte("body")),
+		"method":                  NewDigest("acme", "PUT", "h", "/a?b", []byte("body")),
+		"host":                    NewDigest("acme", "POST", "g", "/a?b", []byte("body")),
+		"target":                  NewDigest("acme", "POST", "h", "/a?c", []byte("body")),
+		"body":                    NewDigest("acme", "POST", "h", "/a?b", []byte("bodz")),
+		"no body":                 NewDigest("acme", "POST", "h", "/a?b", nil),
+		"a field's end moved":     NewDigest("acmeP", "OST", "h", "/a?b", []byte("body")),
+		"the target's end moved":  NewDigest("acme", "POST", "h", "/a?bb", []byte("ody")),
+		"the organisation's name": NewDigest("acme\x00POST", "", "h", "/a?b", []byte("body")),
 	} {
 		assert.NotEqual(t, same, other, name)
 	}
@@ -27,6 +27,6 @@
 func BenchmarkOf(b *testing.B) {
 	body := make([]byte, 4<<10)
 	for b.Loop() {
-		Of("acme", "POST", "host.example", "/chat", body)
+		NewDigest("acme", "POST", "host.example", "/chat", body)
 	}
 }
--- a/pkg/poison/example_test.go
+++ b/pkg/poison/example_test.go
@@ -11,7 +11,7 @@
 func Example() {
 	limits := poison.Limits{Crashes: 3, Hold: 15 * time.Second}
 	one, other := poison.New(poison.Options{Limits: limits}), poison.New(poison.Options{Limits: limits})
-	request := poison.Of("acme", "POST", "api.example", "/chat", []byte("the same body, under a new id each time"))
+	request := poison.NewDigest("acme", "POST", "api.example", "/chat", []byte("the same body, under a new id each time"))
 
 	now := time.Now()
 	one.Crashed(request, 1, now, now)
--- a/pkg/poison/poison_test.go
+++ b/pkg/poison/poison_test.go
@@ -12,7 +12,7 @@
 var (
 	begin  = time.Now()
 	limits = Limits{Crashes: 3, Hold: 10 * time.Minute}
-	body   = Of("acme", "POST", "h", "/", []byte("body"))
+	body   = NewDigest("acme", "POST", "h", "/", []byte("body"))
 )
 
 func at(s float64) time.Time { return begin.Add(time.Duration(s * float64(time.Second))) }
@@ -104,7 +104,7 @@
 	source := New(Options{Limits: limits})
 	var marks []Mark
 	for n := range 6 {
-		d := Of("acme", "POST", "h", "/", fmt.Append(nil, n))
+		d := NewDigest("acme", "POST", "h", "/", fmt.Append(nil, n))
 		for replica := range uint32(4) {
 			source.Crashed(d, replica+1, at(float64(n)+10*float64(replica)), at(50))
 		}
@@ -121,7 +121,7 @@
 			other.Merge(marks, false, at(51))
 		}
 		for n := range 6 {
-			d := Of("acme", "POST", "h", "/", fmt.Append(nil, n))
+			d := NewDigest("acme", "POST", "h", "/", fmt.Append(nil, n))
 			assert.Equal(t, source.Ask(d, at(52)).State, other.Ask(d, at(52)).State, "seed %d, body %d", seed, n)
 		}
 		assert.Empty(t, other.Untold(), "nothing is told on in a small fleet")
@@ -163,7 +163,7 @@
 	m := New(Options{Limits: limits})
 	m.play([]step{{1, 0}, {2, 0}, {3, 0}})
 	for n := range 3 * maxSuspects {
-		m.Crashed(Of("acme", "POST", "h", "/", fmt.Append(nil, n)), 9, at(1), at(1))
+		m.Crashed(NewDigest("acme", "POST", "h", "/", fmt.Append(nil, n)), 9, at(1), at(1))
 	}
 	marked, held := m.Len()
 	assert.Equal(t, maxSuspects+1, marked)
@@ -200,7 +200,7 @@
 
 func BenchmarkAskSound(b *testing.B) {
 	m := New(Options{Limits: limits})
-	m.Crashed(Of("other", "", "", "", nil), 1, at(0), at(0))
+	m.Crashed(NewDigest("other", "", "", "", nil), 1, at(0), at(0))
 	for b.Loop() {
 		m.Ask(body, at(1))
 	}
