--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -49,7 +49,7 @@
 	}
 	v := memory.Ask(c.digest(), now)
 	switch {
-	case c.trial, v.State == poison.Sound:
+	case c.trial, v.State == poison.Allowed:
 		return nil
 	case v.State == poison.Held:
 		return c.refusePoisoned(v.After)
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -144,11 +144,11 @@
 	digest := r.mark("/single/x", "body", 2)
 	broken = true
 	_, _, _ = r.send(t, http.MethodPost, "/single/x", "body")
-	assert.Equal(t, poison.Alone, r.front.poison.Ask(digest, time.Now()).State)
+	assert.Equal(t, poison.Suspected, r.front.poison.Ask(digest, time.Now()).State)
 	broken = false
 	_, _, err := r.send(t, http.MethodPost, "/single/x", "body")
 	require.NoError(t, err)
-	for r.front.poison.Ask(digest, time.Now()).State != poison.Sound {
+	for r.front.poison.Ask(digest, time.Now()).State != poison.Allowed {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/gossip/marks_test.go
+++ b/internal/gossip/marks_test.go
@@ -50,7 +50,7 @@
 	fleet[4].gossip.poison.Served(deadly, time.Now())
 	until(t, func() bool {
 		for _, r := range fleet {
-			if r.gossip.poison.Ask(deadly, time.Now()).State != poison.Sound {
+			if r.gossip.poison.Ask(deadly, time.Now()).State != poison.Allowed {
 				return false
 			}
 		}
--- a/pkg/poison/ask.go
+++ b/pkg/poison/ask.go
@@ -7,11 +7,11 @@
 
 // The states.
 const (
-	// Sound: it may be sent.
-	Sound State = iota
-	// Alone: one more crash has it held. It is sent by Begin, once at a time, and not
+	// Allowed: it may be sent.
+	Allowed State = iota
+	// Suspected: one more crash has it held. It is sent by Begin, once at a time, and not
 	// repeated: each of its runs may cost all that run beside it.
-	Alone
+	Suspected
 	// Held: it is not to be sent.
 	Held
 	// Trial: it was held for its time. One router may send it, by Begin.
@@ -45,7 +45,7 @@
 			v.State = Held
 		}
 	case v.Crashes == m.limit(s, now)-1:
-		v.State = Alone
+		v.State = Suspected
 	}
 	return v
 }
--- a/pkg/poison/poison_test.go
+++ b/pkg/poison/poison_test.go
@@ -40,18 +40,18 @@
 		want  Verdict
 	}{
 		"nothing known":                          {want: Verdict{}},
-		"one crash":                              {[]step{{1, 0}}, 1, Verdict{Sound, 1, 0}},
-		"two":                                    {[]step{{1, 0}, {2, 5}}, 6, Verdict{Alone, 2, 0}},
+		"one crash":                              {[]step{{1, 0}}, 1, Verdict{Allowed, 1, 0}},
+		"two":                                    {[]step{{1, 0}, {2, 5}}, 6, Verdict{Suspected, 2, 0}},
 		"three":                                  {[]step{{1, 0}, {2, 5}, {3, 10}}, 11, Verdict{Held, 3, 599 * time.Second}},
 		"three, long ago each":                   {[]step{{1, 0}, {2, 3600}, {3, 7200}}, 7201, Verdict{Held, 3, 599 * time.Second}},
-		"three are of one, as three routers saw": {[]step{{1, 0}, {1, 0.1}, {1, 1}}, 2, Verdict{Sound, 1, 0}},
+		"three are of one, as three routers saw": {[]step{{1, 0}, {1, 0.1}, {1, 1}}, 2, Verdict{Allowed, 1, 0}},
 		"one replica crashes each time it starts":                   {[]step{{1, 0}, {1, 11}, {1, 22}}, 23, Verdict{Held, 3, 599 * time.Second}},
-		"answered whole in between":                                 {[]step{{1, 0}, {2, 5}, {0, 6}, {3, 10}}, 11, Verdict{Sound, 1, 0}},
+		"answered whole in between":                                 {[]step{{1, 0}, {2, 5}, {0, 6}, {3, 10}}, 11, Verdict{Allowed, 1, 0}},
 		"answered whole after it was held":                          {[]step{{1, 0}, {2, 5}, {3, 10}, {0, 20}}, 21, Verdict{}},
 		"a mark that comes after an answer is of a crash before it": {[]step{{1, 0}, {0, 6}, {2, 5}}, 7, Verdict{}},
 		"the hold is over":                                          {[]step{{1, 0}, {2, 0}, {3, 0}}, 601, Verdict{Trial, 3, -time.Second}},
 		"each further crash makes it longer":                        {[]step{{1, 0}, {2, 0}, {3, 0}, {4, 600}}, 700, Verdict{Held, 4, 3500 * time.Second}},
-		"it was answered before":                                    {[]step{{0, 0}, {1, 1}, {2, 2}, {3, 3}, {4, 4}}, 5, Verdict{Sound, 4, 0}},
+		"it was answered before":                                    {[]step{{0, 0}, {1, 1}, {2, 2}, {3, 3}, {4, 4}}, 5, Verdict{Allowed, 4, 0}},
 		"it was answered before, and never since":                   {[]step{{0, 0}, {1, 1}, {2, 2}, {3, 3}, {4, 4}, {5, 5}, {6, 6}, {7, 7}, {8, 8}, {9, 9}, {10, 10}, {11, 11}, {12, 12}}, 13, Verdict{Held, 12, 599 * time.Second}},
 		"it was answered long before":                               {[]step{{0, 0}, {1, 1000}, {2, 1000}, {3, 1000}}, 1001, Verdict{Held, 3, 599 * time.Second}},
 		"after three further ones, for a day":                       {[]step{{1, 0}, {2, 0}, {3, 0}, {4, 1}, {5, 2}, {6, 3}}, 3, Verdict{Held, 6, 24 * time.Hour}},
@@ -78,10 +78,10 @@
 func TestASuspectRunsOnceAtATime(t *testing.T) {
 	m := New(Options{Limits: limits})
 	m.play([]step{{1, 0}, {2, 5}})
-	assert.True(t, m.Begin(body, Alone, at(6)))
-	assert.False(t, m.Begin(body, Alone, at(6)))
+	assert.True(t, m.Begin(body, Suspected, at(6)))
+	assert.False(t, m.Begin(body, Suspected, at(6)))
 	m.End(body)
-	assert.True(t, m.Begin(body, Alone, at(6)))
+	assert.True(t, m.Begin(body, Suspected, at(6)))
 }
 
 // A trial whose caller leaves shows nothing, and is not to be followed by one after the
@@ -194,7 +194,7 @@
 		now += 0.2
 		m.Served(body, at(now))
 		now += 0.2
-		assert.Equal(t, Sound, m.Ask(body, at(now)).State)
+		assert.Equal(t, Allowed, m.Ask(body, at(now)).State)
 	}
 }
 
@@ -215,10 +215,10 @@
 	}
 	assert.Equal(t, Held, other.Ask(body, at(5)).State)
 	saw.Merge(other.Untold(), false, at(6))
-	assert.Equal(t, Sound, saw.Ask(body, at(6)).State)
+	assert.Equal(t, Allowed, saw.Ask(body, at(6)).State)
 	<-saw.News()
 	other.Merge(saw.Untold(), false, at(7))
-	assert.Equal(t, Sound, other.Ask(body, at(7)).State)
+	assert.Equal(t, Allowed, other.Ask(body, at(7)).State)
 }
 
 // What is told on comes back over other ways, each a little later, so that its time by the
