--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -47,7 +47,7 @@
 	if !memory.Any() {
 		return nil
 	}
-	v := memory.Ask(c.digest(), now)
+	v := memory.Check(c.digest(), now)
 	switch {
 	case c.trial, v.State == poison.Allowed:
 		return nil
@@ -139,7 +139,7 @@
 
 // noteCrash records a crash against the request under which a replica crashed.
 func (f *Front) noteCrash(id string, b brokenRequest, now time.Time) {
-	f.poison.Crashed(b.digest, balance.ReplicaHash(id+b.incarnation), b.at, now)
+	f.poison.RecordCrash(b.digest, balance.ReplicaHash(id+b.incarnation), b.at, now)
 	f.log.Write(event.ReplicaEnded, append(b.fields, event.F("seen_after_ms", now.Sub(b.at).Milliseconds()))...)
 }
 
@@ -173,6 +173,6 @@
 // noteServed records that a replica ran the request to its end.
 func (c *call) noteServed(status int) {
 	if status < http.StatusInternalServerError {
-		c.front.poison.Served(c.digest(), steady.Now())
+		c.front.poison.RecordSuccess(c.digest(), steady.Now())
 	}
 }
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -72,7 +72,7 @@
 	digest := poison.NewDigest("acme", http.MethodPost, "h", path, []byte(body))
 	r.front.poison.SetLimits(poison.Limits{Crashes: 3, Hold: time.Minute})
 	for n := range crashes {
-		r.front.poison.Crashed(digest, uint32(n+1), time.Now(), time.Now())
+		r.front.poison.RecordCrash(digest, uint32(n+1), time.Now(), time.Now())
 	}
 	return digest
 }
@@ -102,7 +102,7 @@
 	require.NoError(t, c.checkBeforeWrite("r0", time.Now()))
 	digest := c.digest()
 	r.front.poison.SetLimits(poison.Limits{Crashes: 1, Hold: time.Minute})
-	r.front.poison.Crashed(digest, 1, time.Now(), time.Now())
+	r.front.poison.RecordCrash(digest, 1, time.Now(), time.Now())
 	assert.ErrorIs(t, c.checkBeforeWrite("r0", time.Now()), errNotAllowed)
 }
 
@@ -144,11 +144,11 @@
 	digest := r.mark("/single/x", "body", 2)
 	broken = true
 	_, _, _ = r.send(t, http.MethodPost, "/single/x", "body")
-	assert.Equal(t, poison.Suspected, r.front.poison.Ask(digest, time.Now()).State)
+	assert.Equal(t, poison.Suspected, r.front.poison.Check(digest, time.Now()).State)
 	broken = false
 	_, _, err := r.send(t, http.MethodPost, "/single/x", "body")
 	require.NoError(t, err)
-	for r.front.poison.Ask(digest, time.Now()).State != poison.Allowed {
+	for r.front.poison.Check(digest, time.Now()).State != poison.Allowed {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -211,7 +211,7 @@
 			r.front.broken.note("a", brokenRequest{digest: digest, at: now, state: test.state}, now)
 			test.tell(r.front, now.Add(test.after))
 			test.tell(r.front, now.Add(test.after))
-			assert.Equal(t, test.marks, r.front.poison.Ask(digest, now).Crashes)
+			assert.Equal(t, test.marks, r.front.poison.Check(digest, now).Crashes)
 		})
 	}
 }
--- a/internal/gossip/marks_test.go
+++ b/internal/gossip/marks_test.go
@@ -19,7 +19,7 @@
 // held tells whether all routers hold a request.
 func held(fleet []*router) bool {
 	for _, r := range fleet {
-		if r.gossip.poison.Ask(deadly, time.Now()).State != poison.Held {
+		if r.gossip.poison.Check(deadly, time.Now()).State != poison.Held {
 			return false
 		}
 	}
@@ -31,7 +31,7 @@
 	for n, r := range fleet {
 		r.gossip.poison.SetLimits(askedFor)
 		if n < 3 {
-			r.gossip.poison.Crashed(deadly, uint32(n+1), time.Now(), time.Now())
+			r.gossip.poison.RecordCrash(deadly, uint32(n+1), time.Now(), time.Now())
 		}
 	}
 }
@@ -47,10 +47,10 @@
 	}
 	crashAtThree(fleet)
 	until(t, func() bool { return held(fleet) })
-	fleet[4].gossip.poison.Served(deadly, time.Now())
+	fleet[4].gossip.poison.RecordSuccess(deadly, time.Now())
 	until(t, func() bool {
 		for _, r := range fleet {
-			if r.gossip.poison.Ask(deadly, time.Now()).State != poison.Allowed {
+			if r.gossip.poison.Check(deadly, time.Now()).State != poison.Allowed {
 				return false
 			}
 		}
@@ -69,7 +69,7 @@
 	first := newRouter(t, &source{})
 	crashAtThree([]*router{first})
 	for replica := range uint32(3) {
-		first.gossip.poison.Crashed(deadly, replica, time.Now(), time.Now())
+		first.gossip.poison.RecordCrash(deadly, replica, time.Now(), time.Now())
 	}
 	first.gossip.poison.Untold()
 	second := newRouter(t, &source{}, first.gossip.Address())
@@ -95,7 +95,7 @@
 	first.gossip.busy[address] = true
 	first.gossip.mu.Unlock()
 	for replica := range uint32(3) {
-		first.gossip.poison.Crashed(deadly, replica, time.Now(), time.Now())
+		first.gossip.poison.RecordCrash(deadly, replica, time.Now(), time.Now())
 	}
 	first.gossip.tellMarks(t.Context(), time.Now())
 	assert.Empty(t, first.gossip.poison.Untold())
--- a/internal/router/poison.go
+++ b/internal/router/poison.go
@@ -45,7 +45,7 @@
 	if !r.poison.Any() {
 		return nil
 	}
-	v := r.poison.Ask(digestOf(job, request), steady.Now())
+	v := r.poison.Check(digestOf(job, request), steady.Now())
 	if v.State != poison.Held {
 		return nil
 	}
@@ -57,12 +57,12 @@
 func (r *Router) noteFate(ctx context.Context, job *Job, target fleet.Instance, request *dispatch.Request, outcome dispatch.Outcome) {
 	switch {
 	case outcome.Whole:
-		r.poison.Served(digestOf(job, request), steady.Now())
+		r.poison.RecordSuccess(digestOf(job, request), steady.Now())
 	case outcome.NotRun || outcome.Leaving || ctx.Err() != nil:
 	case outcome.Reason != admission.TargetFailed && outcome.Reason != admission.StreamBroken:
 	case dispatch.Ended(ctx, target.Address):
 		now, digest := steady.Now(), digestOf(job, request)
-		r.poison.Crashed(digest, uint32(placement.Hash(target.Name)), now, now)
+		r.poison.RecordCrash(digest, uint32(placement.Hash(target.Name)), now, now)
 		r.log.Write(event.ReplicaEnded, event.F("request", job.ID), event.F("replica", target.Name), event.F("digest", digest.String()))
 	}
 }
--- a/pkg/poison/ask.go
+++ b/pkg/poison/ask.go
@@ -27,8 +27,8 @@
 	After time.Duration
 }
 
-// Ask tells whether a request may be sent now.
-func (m *Memory) Ask(d Digest, now time.Time) Verdict {
+// Check tells whether a request may be sent now.
+func (m *Memory) Check(d Digest, now time.Time) Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.find(d)
--- a/pkg/poison/example_test.go
+++ b/pkg/poison/example_test.go
@@ -14,13 +14,13 @@
 	request := poison.NewDigest("acme", "POST", "api.example", "/chat", []byte("the same body, under a new id each time"))
 
 	now := time.Now()
-	one.Crashed(request, 1, now, now)
-	one.Crashed(request, 2, now, now)
-	other.Crashed(request, 3, now, now)
+	one.RecordCrash(request, 1, now, now)
+	one.RecordCrash(request, 2, now, now)
+	other.RecordCrash(request, 3, now, now)
 	one.Merge(other.Untold(), false, now)
 	other.Merge(one.Untold(), false, now)
 
-	verdict := other.Ask(request, now)
+	verdict := other.Check(request, now)
 	fmt.Println(verdict.State == poison.Held, verdict.Crashes, verdict.After)
 	// Output: true 3 15s
 }
--- a/pkg/poison/memory_bench_test.go
+++ b/pkg/poison/memory_bench_test.go
@@ -14,14 +14,14 @@
 		runtime.ReadMemStats(&before)
 		m := New(Options{Limits: limits})
 		for n := range maxProven {
-			m.Served(NewDigest("served", "", "", "", fmt.Append(nil, n)), at(0))
+			m.RecordSuccess(NewDigest("served", "", "", "", fmt.Append(nil, n)), at(0))
 		}
 		for n := range maxSuspects {
-			m.Crashed(NewDigest("suspect", "", "", "", fmt.Append(nil, n)), 1, at(0), at(0))
+			m.RecordCrash(NewDigest("suspect", "", "", "", fmt.Append(nil, n)), 1, at(0), at(0))
 		}
 		for n := range maxHeld {
 			for replica := range uint32(3) {
-				m.Crashed(NewDigest("held", "", "", "", fmt.Append(nil, n)), replica, at(0), at(0))
+				m.RecordCrash(NewDigest("held", "", "", "", fmt.Append(nil, n)), replica, at(0), at(0))
 			}
 		}
 		runtime.GC()
--- a/pkg/poison/poison.go
+++ b/pkg/poison/poison.go
@@ -161,13 +161,13 @@
 	return m.suspects.Len() + m.held.Len(), m.held.Len()
 }
 
-// Crashed notes that a replica crashed at a time while it ran a request.
-func (m *Memory) Crashed(d Digest, replica uint32, at, now time.Time) {
+// RecordCrash notes that a replica crashed at a time while it ran a request.
+func (m *Memory) RecordCrash(d Digest, replica uint32, at, now time.Time) {
 	m.learn([]Mark{{Digest: d, Replica: replica, At: at}}, true, now)
 }
 
-// Served notes that a replica answered a request whole.
-func (m *Memory) Served(d Digest, now time.Time) {
+// RecordSuccess notes that a replica answered a request whole.
+func (m *Memory) RecordSuccess(d Digest, now time.Time) {
 	m.mu.Lock()
 	m.proven.Add(d, now)
 	s := m.find(d)
--- a/pkg/poison/poison_test.go
+++ b/pkg/poison/poison_test.go
@@ -26,10 +26,10 @@
 func (m *Memory) play(steps []step) {
 	for _, s := range steps {
 		if s.replica == 0 {
-			m.Served(body, at(s.at))
+			m.RecordSuccess(body, at(s.at))
 			continue
 		}
-		m.Crashed(body, s.replica, at(s.at), at(s.at))
+		m.RecordCrash(body, s.replica, at(s.at), at(s.at))
 	}
 }
 
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := New(Options{Limits: limits})
 			m.play(test.steps)
-			assert.Equal(t, test.want, m.Ask(body, at(test.at)))
+			assert.Equal(t, test.want, m.Check(body, at(test.at)))
 		})
 	}
 }
@@ -69,10 +69,10 @@
 func TestNothingIsHeldWithoutALimit(t *testing.T) {
 	m := New(Options{})
 	m.play([]step{{1, 0}, {2, 0}, {3, 0}})
-	assert.Equal(t, Verdict{}, m.Ask(body, at(1)))
+	assert.Equal(t, Verdict{}, m.Check(body, at(1)))
 	m.SetLimits(limits)
 	m.play([]step{{4, 1}})
-	assert.Equal(t, Held, m.Ask(body, at(2)).State)
+	assert.Equal(t, Held, m.Check(body, at(2)).State)
 }
 
 func TestASuspectRunsOnceAtATime(t *testing.T) {
@@ -91,7 +91,7 @@
 	m.play([]step{{1, 0}, {2, 0}, {3, 0}})
 	trials := 0
 	for s := 0.0; s < 20*3600; s += 10 {
-		if m.Ask(body, at(s)).State == Trial && m.Begin(body, Trial, at(s)) {
+		if m.Check(body, at(s)).State == Trial && m.Begin(body, Trial, at(s)) {
 			trials++
 			m.End(body)
 		}
@@ -106,10 +106,10 @@
 	for n := range 6 {
 		d := NewDigest("acme", "POST", "h", "/", fmt.Append(nil, n))
 		for replica := range uint32(4) {
-			source.Crashed(d, replica+1, at(float64(n)+10*float64(replica)), at(50))
+			source.RecordCrash(d, replica+1, at(float64(n)+10*float64(replica)), at(50))
 		}
 		if n%2 == 0 {
-			source.Served(d, at(float64(25)))
+			source.RecordSuccess(d, at(float64(25)))
 		}
 		marks = append(marks, source.Untold()...)
 	}
@@ -122,7 +122,7 @@
 		}
 		for n := range 6 {
 			d := NewDigest("acme", "POST", "h", "/", fmt.Append(nil, n))
-			assert.Equal(t, source.Ask(d, at(52)).State, other.Ask(d, at(52)).State, "seed %d, body %d", seed, n)
+			assert.Equal(t, source.Check(d, at(52)).State, other.Check(d, at(52)).State, "seed %d, body %d", seed, n)
 		}
 		assert.Empty(t, other.Untold(), "nothing is told on in a small fleet")
 	}
@@ -163,12 +163,12 @@
 	m := New(Options{Limits: limits})
 	m.play([]step{{1, 0}, {2, 0}, {3, 0}})
 	for n := range 3 * maxSuspects {
-		m.Crashed(NewDigest("acme", "POST", "h", "/", fmt.Append(nil, n)), 9, at(1), at(1))
+		m.RecordCrash(NewDigest("acme", "POST", "h", "/", fmt.Append(nil, n)), 9, at(1), at(1))
 	}
 	marked, held := m.Len()
 	assert.Equal(t, maxSuspects+1, marked)
 	assert.Equal(t, 1, held)
-	assert.Equal(t, Held, m.Ask(body, at(2)).State)
+	assert.Equal(t, Held, m.Check(body, at(2)).State)
 	assert.LessOrEqual(t, len(m.Untold()), maxTold)
 	assert.LessOrEqual(t, len(m.Recent(at(1))), maxTold)
 	assert.Equal(t, body, m.Sample(1)[0].Digest, "held requests are told first")
@@ -178,10 +178,10 @@
 func TestTheCrashesOfARequestAreBounded(t *testing.T) {
 	m := New(Options{})
 	for replica := range uint32(1000) {
-		m.Crashed(body, replica+1, at(1), at(1))
+		m.RecordCrash(body, replica+1, at(1), at(1))
 	}
 	m.SetLimits(limits)
-	assert.Equal(t, maxCrashes, m.Ask(body, at(2)).Crashes)
+	assert.Equal(t, maxCrashes, m.Check(body, at(2)).Crashes)
 }
 
 // A lookup that everybody sends runs on each replica that crashes for another reason,
@@ -190,35 +190,35 @@
 	m := New(Options{Limits: limits})
 	now := 0.0
 	for replica := range uint32(100) {
-		m.Crashed(body, replica+1, at(now), at(now))
+		m.RecordCrash(body, replica+1, at(now), at(now))
 		now += 0.2
-		m.Served(body, at(now))
+		m.RecordSuccess(body, at(now))
 		now += 0.2
-		assert.Equal(t, Allowed, m.Ask(body, at(now)).State)
+		assert.Equal(t, Allowed, m.Check(body, at(now)).State)
 	}
 }
 
 func BenchmarkAskSound(b *testing.B) {
 	m := New(Options{Limits: limits})
-	m.Crashed(NewDigest("other", "", "", "", nil), 1, at(0), at(0))
+	m.RecordCrash(NewDigest("other", "", "", "", nil), 1, at(0), at(0))
 	for b.Loop() {
-		m.Ask(body, at(1))
+		m.Check(body, at(1))
 	}
 }
 
 // One router served it, another one saw the crashes.
 func TestARouterThatSawItAnsweredVouchesForIt(t *testing.T) {
 	saw, other := New(Options{Limits: limits}), New(Options{Limits: limits})
-	saw.Served(body, at(0))
+	saw.RecordSuccess(body, at(0))
 	for replica := range uint32(4) {
-		other.Crashed(body, replica+1, at(1+float64(replica)), at(5))
+		other.RecordCrash(body, replica+1, at(1+float64(replica)), at(5))
 	}
-	assert.Equal(t, Held, other.Ask(body, at(5)).State)
+	assert.Equal(t, Held, other.Check(body, at(5)).State)
 	saw.Merge(other.Untold(), false, at(6))
-	assert.Equal(t, Allowed, saw.Ask(body, at(6)).State)
+	assert.Equal(t, Allowed, saw.Check(body, at(6)).State)
 	<-saw.News()
 	other.Merge(saw.Untold(), false, at(7))
-	assert.Equal(t, Allowed, other.Ask(body, at(7)).State)
+	assert.Equal(t, Allowed, other.Check(body, at(7)).State)
 }
 
 // What is told on comes back over other ways, each a little later, so that its time by the
