--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -52,7 +52,7 @@
 	case c.trial, v.State == poison.Allowed:
 		return nil
 	case v.State == poison.Held:
-		return c.refusePoisoned(v.After)
+		return c.refusePoisoned(v.RetryAfter)
 	case c.sent.Load() > 0:
 		return c.refusePoisoned(busyAfter)
 	case c.exclusive:
--- a/internal/router/poison.go
+++ b/internal/router/poison.go
@@ -49,7 +49,7 @@
 	if v.State != poison.Held {
 		return nil
 	}
-	return admission.Refuse(admission.Poisoned, v.After, "the request crashes what runs it")
+	return admission.Refuse(admission.Poisoned, v.RetryAfter, "the request crashes what runs it")
 }
 
 // noteFate makes a mark against a request that was broken off by a target that ended,
--- a/pkg/poison/ask.go
+++ b/pkg/poison/ask.go
@@ -23,8 +23,8 @@
 	State State
 	// Crashes is how many replicas in a row it crashed, or some request beside it.
 	Crashes int
-	// After is for how long it is held.
-	After time.Duration
+	// RetryAfter is for how long it is held.
+	RetryAfter time.Duration
 }
 
 // Check tells whether a request may be sent now.
@@ -41,7 +41,7 @@
 	case v.Crashes == 0:
 	case v.Crashes >= m.limit(s, now):
 		v.State = Trial
-		if v.After = m.heldUntil(s, now).Sub(now); v.After > 0 {
+		if v.RetryAfter = m.heldUntil(s, now).Sub(now); v.RetryAfter > 0 {
 			v.State = Held
 		}
 	case v.Crashes == m.limit(s, now)-1:
--- a/pkg/poison/example_test.go
+++ b/pkg/poison/example_test.go
@@ -21,6 +21,6 @@
 	other.Merge(one.Untold(), false, now)
 
 	verdict := other.Check(request, now)
-	fmt.Println(verdict.State == poison.Held, verdict.Crashes, verdict.After)
+	fmt.Println(verdict.State == poison.Held, verdict.Crashes, verdict.RetryAfter)
 	// Output: true 3 15s
 }
