--- a/internal/router/poison.go
+++ b/internal/router/poison.go
@@ -25,10 +25,10 @@
 func newPoison(log *event.Log) *poison.Memory {
 	return poison.New(poison.Options{
 		Limits: poison.Limits{Crashes: poisonCrashes, Hold: poisonHold},
-		Held: func(d poison.Digest, crashes int, hold time.Duration) {
+		OnHeld: func(d poison.Digest, crashes int, hold time.Duration) {
 			log.Write(event.RequestHeld, event.F("digest", d.String()), event.F("crashes", crashes), event.F("hold_ms", hold.Milliseconds()))
 		},
-		Cleared: func(d poison.Digest) { log.Write(event.RequestCleared, event.F("digest", d.String())) },
+		OnCleared: func(d poison.Digest) { log.Write(event.RequestCleared, event.F("digest", d.String())) },
 	})
 }
 
--- a/pkg/poison/poison.go
+++ b/pkg/poison/poison.go
@@ -52,9 +52,9 @@
 // Options of a memory. Its functions are called without a lock and may be nil.
 type Options struct {
 	Limits Limits
-	// Held is told when a request is held, Cleared when one that was held ended well.
-	Held    func(d Digest, crashes int, hold time.Duration)
-	Cleared func(d Digest)
+	// OnHeld is told when a request is held, Cleared when one that was held ended well.
+	OnHeld    func(d Digest, crashes int, hold time.Duration)
+	OnCleared func(d Digest)
 }
 
 const (
@@ -312,16 +312,16 @@
 		m.held.Add(d, s)
 		crashes, hold := len(s.crashes), m.heldUntil(s, now).Sub(now)
 		return func() {
-			if m.options.Held != nil {
-				m.options.Held(d, crashes, hold)
+			if m.options.OnHeld != nil {
+				m.options.OnHeld(d, crashes, hold)
 			}
 		}
 	}
 	m.held.Remove(d)
 	m.suspects.Add(d, s)
 	return func() {
-		if m.options.Cleared != nil {
-			m.options.Cleared(d)
+		if m.options.OnCleared != nil {
+			m.options.OnCleared(d)
 		}
 	}
 }
--- a/pkg/poison/poison_test.go
+++ b/pkg/poison/poison_test.go
@@ -149,10 +149,10 @@
 func TestOperatorsAreToldOfAHoldAndItsEnd(t *testing.T) {
 	var told []string
 	m := New(Options{Limits: limits,
-		Held: func(_ Digest, crashes int, hold time.Duration) {
+		OnHeld: func(_ Digest, crashes int, hold time.Duration) {
 			told = append(told, fmt.Sprint("held ", crashes, " ", hold))
 		},
-		Cleared: func(Digest) { told = append(told, "cleared") },
+		OnCleared: func(Digest) { told = append(told, "cleared") },
 	})
 	m.play([]step{{1, 0}, {2, 0}, {3, 0}, {4, 3}, {0, 4}})
 	assert.Equal(t, []string{"held 3 10m0s", "cleared"}, told)
