--- a/internal/entry/subject.go
+++ b/internal/entry/subject.go
@@ -83,7 +83,7 @@
 	generation, returns, facts := e.watcher.Generation(steady.Now())
 	made, failed := e.watcher.Reads()
 	sent, received := e.gossip.Bytes()
-	marked, held := e.poison.Len()
+	marked, held := e.poison.Counts()
 	draining, resting := e.watcher.Statements().CountExcluded(steady.Now())
 	return []admin.Gauge{
 		{Name: "croftyard_config_version", Value: float64(e.watcher.Digest().Version)},
--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -44,7 +44,7 @@
 // it not run as long as no replica had it in this try.
 func (c *call) checkPoison(now time.Time) *refusal {
 	memory := c.front.poison
-	if !memory.Any() {
+	if !memory.HasMarks() {
 		return nil
 	}
 	v := memory.Check(c.digest(), now)
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -243,7 +243,7 @@
 			if c.probed != nil {
 				<-c.probed
 			}
-			assert.Equal(t, marks, r.front.poison.Any())
+			assert.Equal(t, marks, r.front.poison.HasMarks())
 		})
 	}
 }
--- a/internal/front/eligible.go
+++ b/internal/front/eligible.go
@@ -67,7 +67,7 @@
 	if excluded && !(c.lastResort && x.LastResort) {
 		return fmt.Errorf("%w: replica %s: %s", errNotAllowed, id, x.Reason)
 	}
-	if !c.trial && c.front.poison.Any() && c.front.poison.Check(c.digest(), now).State == poison.Held {
+	if !c.trial && c.front.poison.HasMarks() && c.front.poison.Check(c.digest(), now).State == poison.Held {
 		return fmt.Errorf("%w: request crashes what runs it", errNotAllowed)
 	}
 	limits := c.front.limits.Load()
--- a/internal/router/poison.go
+++ b/internal/router/poison.go
@@ -42,7 +42,7 @@
 
 // suspicion refuses a request that is taken to crash what runs it.
 func (r *Router) suspicion(job *Job, request *dispatch.Request) *admission.Refusal {
-	if !r.poison.Any() {
+	if !r.poison.HasMarks() {
 		return nil
 	}
 	v := r.poison.Check(digestOf(job, request), steady.Now())
--- a/pkg/poison/poison.go
+++ b/pkg/poison/poison.go
@@ -146,16 +146,16 @@
 	m.limits = l
 }
 
-// Any tells whether there are marks at all: if not, no request needs a digest before it
+// HasMarks tells whether there are marks at all: if not, no request needs a digest before it
 // is sent.
-func (m *Memory) Any() bool {
+func (m *Memory) HasMarks() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.suspects.Len()+m.held.Len() > 0
 }
 
-// Len returns how many requests have marks, and how many of them are held.
-func (m *Memory) Len() (marked, held int) {
+// Counts returns how many requests have marks, and how many of them are held.
+func (m *Memory) Counts() (marked, held int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.suspects.Len() + m.held.Len(), m.held.Len()
--- a/pkg/poison/poison_test.go
+++ b/pkg/poison/poison_test.go
@@ -165,7 +165,7 @@
 	for n := range 3 * maxSuspects {
 		m.RecordCrash(NewDigest("acme", "POST", "h", "/", fmt.Append(nil, n)), 9, at(1), at(1))
 	}
-	marked, held := m.Len()
+	marked, held := m.Counts()
 	assert.Equal(t, maxSuspects+1, marked)
 	assert.Equal(t, 1, held)
 	assert.Equal(t, Held, m.Check(body, at(2)).State)
