--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -244,7 +244,7 @@
 		case <-told:
 			told = nil
 			g.tellNews(steady.Now())
-		case <-g.poison.News():
+		case <-g.poison.Updates():
 			if marked == nil {
 				marked = time.After(marksPause)
 			}
--- a/internal/gossip/marks.go
+++ b/internal/gossip/marks.go
@@ -20,7 +20,7 @@
 // tellMarks tells all partners of marks against requests, beside the rounds: until all
 // know, each router sends a request that crashes replicas to one more.
 func (g *Gossip) tellMarks(ctx context.Context, now time.Time) {
-	marks := encodeMarks(g.poison.Untold(), now)
+	marks := encodeMarks(g.poison.TakePending(), now)
 	if marks == nil {
 		return
 	}
--- a/internal/gossip/marks_test.go
+++ b/internal/gossip/marks_test.go
@@ -71,7 +71,7 @@
 	for replica := range uint32(3) {
 		first.gossip.poison.RecordCrash(deadly, replica, time.Now(), time.Now())
 	}
-	first.gossip.poison.Untold()
+	first.gossip.poison.TakePending()
 	second := newRouter(t, &source{}, first.gossip.Address())
 	second.gossip.poison.SetLimits(askedFor)
 	until(t, func() bool { return held([]*router{first, second}) })
@@ -98,7 +98,7 @@
 		first.gossip.poison.RecordCrash(deadly, replica, time.Now(), time.Now())
 	}
 	first.gossip.tellMarks(t.Context(), time.Now())
-	assert.Empty(t, first.gossip.poison.Untold())
+	assert.Empty(t, first.gossip.poison.TakePending())
 	first.gossip.mu.Lock()
 	delete(first.gossip.busy, address)
 	// What is told again in each round is not what this is about.
--- a/pkg/poison/example_test.go
+++ b/pkg/poison/example_test.go
@@ -17,8 +17,8 @@
 	one.RecordCrash(request, 1, now, now)
 	one.RecordCrash(request, 2, now, now)
 	other.RecordCrash(request, 3, now, now)
-	one.Merge(other.Untold(), false, now)
-	other.Merge(one.Untold(), false, now)
+	one.Merge(other.TakePending(), false, now)
+	other.Merge(one.TakePending(), false, now)
 
 	verdict := other.Check(request, now)
 	fmt.Println(verdict.State == poison.Held, verdict.Crashes, verdict.RetryAfter)
--- a/pkg/poison/poison_test.go
+++ b/pkg/poison/poison_test.go
@@ -111,7 +111,7 @@
 		if n%2 == 0 {
 			source.RecordSuccess(d, at(float64(25)))
 		}
-		marks = append(marks, source.Untold()...)
+		marks = append(marks, source.TakePending()...)
 	}
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, seed))
@@ -124,7 +124,7 @@
 			d := NewDigest("acme", "POST", "h", "/", fmt.Append(nil, n))
 			assert.Equal(t, source.Check(d, at(52)).State, other.Check(d, at(52)).State, "seed %d, body %d", seed, n)
 		}
-		assert.Empty(t, other.Untold(), "nothing is told on in a small fleet")
+		assert.Empty(t, other.TakePending(), "nothing is told on in a small fleet")
 	}
 }
 
@@ -132,12 +132,12 @@
 	m := New(Options{Limits: limits})
 	mark := Mark{Digest: body, Replica: 1, At: at(0)}
 	m.Merge([]Mark{mark}, true, at(1))
-	<-m.News()
-	assert.Equal(t, []Mark{mark}, m.Untold())
+	<-m.Updates()
+	assert.Equal(t, []Mark{mark}, m.TakePending())
 	m.Merge([]Mark{mark}, true, at(1))
-	assert.Empty(t, m.Untold())
+	assert.Empty(t, m.TakePending())
 	select {
-	case <-m.News():
+	case <-m.Updates():
 		assert.Fail(t, "no news")
 	default:
 	}
@@ -169,7 +169,7 @@
 	assert.Equal(t, maxSuspects+1, marked)
 	assert.Equal(t, 1, held)
 	assert.Equal(t, Held, m.Check(body, at(2)).State)
-	assert.LessOrEqual(t, len(m.Untold()), maxTold)
+	assert.LessOrEqual(t, len(m.TakePending()), maxTold)
 	assert.LessOrEqual(t, len(m.Recent(at(1))), maxTold)
 	assert.Equal(t, body, m.Sample(1)[0].Digest, "held requests are told first")
 }
@@ -214,10 +214,10 @@
 		other.RecordCrash(body, replica+1, at(1+float64(replica)), at(5))
 	}
 	assert.Equal(t, Held, other.Check(body, at(5)).State)
-	saw.Merge(other.Untold(), false, at(6))
+	saw.Merge(other.TakePending(), false, at(6))
 	assert.Equal(t, Allowed, saw.Check(body, at(6)).State)
-	<-saw.News()
-	other.Merge(saw.Untold(), false, at(7))
+	<-saw.Updates()
+	other.Merge(saw.TakePending(), false, at(7))
 	assert.Equal(t, Allowed, other.Check(body, at(7)).State)
 }
 
@@ -228,15 +228,15 @@
 	m := New(Options{Limits: limits})
 	crashed, served := Mark{Digest: body, Replica: 1, At: at(0)}, Mark{Digest: body, At: at(1), Served: true}
 	m.Merge([]Mark{crashed, served}, true, at(1))
-	assert.Len(t, m.Untold(), 2)
+	assert.Len(t, m.TakePending(), 2)
 	for _, late := range []float64{0.004, 0.1, 1, 3} {
 		after := time.Duration(late * float64(time.Second))
 		crashed.At, served.At = at(0).Add(after), at(1).Add(after)
 		m.Merge([]Mark{crashed, served}, true, at(1).Add(after))
-		assert.Empty(t, m.Untold(), "%s later", after)
+		assert.Empty(t, m.TakePending(), "%s later", after)
 	}
 	m.Merge([]Mark{{Digest: body, Replica: 2, At: at(10)}}, true, at(10))
-	assert.Len(t, m.Untold(), 1, "another crash is news")
+	assert.Len(t, m.TakePending(), 1, "another crash is news")
 	m.Merge([]Mark{{Digest: body, At: at(10.5), Served: true}}, true, at(11))
-	assert.Len(t, m.Untold(), 1, "and so is an answer that clears it")
+	assert.Len(t, m.TakePending(), 1, "and so is an answer that clears it")
 }
--- a/pkg/poison/tell.go
+++ b/pkg/poison/tell.go
@@ -17,8 +17,8 @@
 	at time.Time
 }
 
-// News receives after marks were learned that others are to know at once.
-func (m *Memory) News() <-chan struct{} { return m.news }
+// Updates receives after marks were learned that others are to know at once.
+func (m *Memory) Updates() <-chan struct{} { return m.news }
 
 func (m *Memory) wake() {
 	select {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Untold returns the marks that nobody was told of yet.
-func (m *Memory) Untold() []Mark {
+// TakePending returns the marks that nobody was told of yet.
+func (m *Memory) TakePending() []Mark {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	untold := m.untold
