--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -63,7 +63,7 @@
 	log      *event.Log
 	holder   *freshness.Holder
 	balancer *balance.Balancer
-	poison   *poison.Memory
+	poison   *poison.Tracker
 	watcher  *watch.Watcher
 	pool     *upstream.Pool
 	front    *front.Front
--- a/internal/entry/poison.go
+++ b/internal/entry/poison.go
@@ -13,7 +13,7 @@
 }
 
 // newPoison returns a memory of marks against requests whose changes are logged.
-func newPoison(r settings.Routes, log *event.Log) *poison.Memory {
+func newPoison(r settings.Routes, log *event.Log) *poison.Tracker {
 	return poison.New(poison.Options{
 		Limits: poisonLimits(r),
 		OnHeld: func(d poison.Digest, crashes int, hold time.Duration) {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -62,7 +62,7 @@
 	DataCentre string
 	Limits     Limits
 	// Poison holds the marks against requests; nil: marks of its own.
-	Poison *poison.Memory
+	Poison *poison.Tracker
 	// OwnsTask tells whether, of all routers, this one is to do a task; nil: it is.
 	OwnsTask func(task string) bool
 	// Without are mechanisms that an experiment leaves out.
@@ -91,7 +91,7 @@
 	watcher  *watch.Watcher
 	holder   *freshness.Holder
 	balancer *balance.Balancer
-	poison   *poison.Memory
+	poison   *poison.Tracker
 	pool     *upstream.Pool
 	log      *event.Log
 	metrics  *Metrics
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -43,7 +43,7 @@
 	// Period is the pause between two rounds.
 	Period time.Duration
 	// Poison holds the marks against requests; nil: marks of its own.
-	Poison *poison.Memory
+	Poison *poison.Tracker
 }
 
 const (
@@ -81,7 +81,7 @@
 	log      *event.Log
 	watcher  *watch.Watcher
 	balancer *balance.Balancer
-	poison   *poison.Memory
+	poison   *poison.Tracker
 	meter    *peer.Meter
 	client   *peer.Client
 	server   *peer.Server
--- a/internal/router/poison.go
+++ b/internal/router/poison.go
@@ -22,7 +22,7 @@
 	poisonHold    = 2 * time.Minute
 )
 
-func newPoison(log *event.Log) *poison.Memory {
+func newPoison(log *event.Log) *poison.Tracker {
 	return poison.New(poison.Options{
 		Limits: poison.Limits{Crashes: poisonCrashes, Hold: poisonHold},
 		OnHeld: func(d poison.Digest, crashes int, hold time.Duration) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -91,7 +91,7 @@
 	leavingSeen map[string]time.Time
 	sequence    uint32
 	// poison holds the marks against requests that crash their targets.
-	poison *poison.Memory
+	poison *poison.Tracker
 }
 
 // gainedAtMost bounds the engines that wait to be asked; one that finds no place
--- a/pkg/poison/ask.go
+++ b/pkg/poison/ask.go
@@ -28,7 +28,7 @@
 }
 
 // Check tells whether a request may be sent now.
-func (m *Memory) Check(d Digest, now time.Time) Verdict {
+func (m *Tracker) Check(d Digest, now time.Time) Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.find(d)
@@ -59,7 +59,7 @@
 
 // heldUntil is when a request that crashed too many replicas may be tried again.
 // m.mu is held.
-func (m *Memory) heldUntil(s *suspect, now time.Time) time.Time {
+func (m *Tracker) heldUntil(s *suspect, now time.Time) time.Time {
 	last := s.trial
 	for _, c := range s.crashes {
 		if c.at.After(last) {
@@ -79,7 +79,7 @@
 
 // Begin notes that a request is sent that is to run alone, or tried though held, and
 // tells whether it may be: no other run of it is under way from this router.
-func (m *Memory) Begin(d Digest, state State, now time.Time) bool {
+func (m *Tracker) Begin(d Digest, state State, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.find(d)
@@ -99,7 +99,7 @@
 }
 
 // End ends what Begin began.
-func (m *Memory) End(d Digest) {
+func (m *Tracker) End(d Digest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s := m.find(d); s != nil {
--- a/pkg/poison/poison.go
+++ b/pkg/poison/poison.go
@@ -85,9 +85,9 @@
 	oneAnswer = 5 * time.Second
 )
 
-// Memory is what a router knows of requests that crash replicas. It is safe for
+// Tracker is what a router knows of requests that crash replicas. It is safe for
 // concurrent use.
-type Memory struct {
+type Tracker struct {
 	options Options
 	news    chan struct{}
 
@@ -123,8 +123,8 @@
 }
 
 // New returns an empty memory.
-func New(o Options) *Memory {
-	m := &Memory{options: o, limits: o.Limits, news: make(chan struct{}, 1)}
+func New(o Options) *Tracker {
+	m := &Tracker{options: o, limits: o.Limits, news: make(chan struct{}, 1)}
 	m.suspects, m.held = newStore[*suspect](maxSuspects), newStore[*suspect](maxHeld)
 	m.proven = newStore[time.Time](maxProven)
 	return m
@@ -140,7 +140,7 @@
 }
 
 // SetLimits changes the limits.
-func (m *Memory) SetLimits(l Limits) {
+func (m *Tracker) SetLimits(l Limits) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.limits = l
@@ -148,26 +148,26 @@
 
 // HasMarks tells whether there are marks at all: if not, no request needs a digest before it
 // is sent.
-func (m *Memory) HasMarks() bool {
+func (m *Tracker) HasMarks() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.suspects.Len()+m.held.Len() > 0
 }
 
 // Counts returns how many requests have marks, and how many of them are held.
-func (m *Memory) Counts() (marked, held int) {
+func (m *Tracker) Counts() (marked, held int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.suspects.Len() + m.held.Len(), m.held.Len()
 }
 
 // RecordCrash notes that a replica crashed at a time while it ran a request.
-func (m *Memory) RecordCrash(d Digest, replica uint32, at, now time.Time) {
+func (m *Tracker) RecordCrash(d Digest, replica uint32, at, now time.Time) {
 	m.learn([]Mark{{Digest: d, Replica: replica, At: at}}, true, now)
 }
 
 // RecordSuccess notes that a replica answered a request whole.
-func (m *Memory) RecordSuccess(d Digest, now time.Time) {
+func (m *Tracker) RecordSuccess(d Digest, now time.Time) {
 	m.mu.Lock()
 	m.proven.Add(d, now)
 	s := m.find(d)
@@ -179,7 +179,7 @@
 }
 
 // find returns what is known of a request, or nil. m.mu is held.
-func (m *Memory) find(d Digest) *suspect {
+func (m *Tracker) find(d Digest) *suspect {
 	if s, found := m.held.Get(d); found {
 		return s
 	}
@@ -188,7 +188,7 @@
 }
 
 // learn takes marks, those that are new to be told on if asked for.
-func (m *Memory) learn(marks []Mark, tell bool, now time.Time) {
+func (m *Tracker) learn(marks []Mark, tell bool, now time.Time) {
 	var told []func()
 	fresh := false
 	m.mu.Lock()
@@ -222,7 +222,7 @@
 
 // vouch tells the others of an answer from before a mark of a crash, if this router saw
 // one. m.mu is held.
-func (m *Memory) vouch(mark Mark, now time.Time) bool {
+func (m *Tracker) vouch(mark Mark, now time.Time) bool {
 	at, proven := m.proven.Peek(mark.Digest)
 	if mark.Served || !proven || now.Sub(at) > provenLife || !m.find(mark.Digest).serve(at) {
 		return false
@@ -234,7 +234,7 @@
 }
 
 // take takes one mark and tells whether it was new. m.mu is held.
-func (m *Memory) take(mark Mark, now time.Time) bool {
+func (m *Tracker) take(mark Mark, now time.Time) bool {
 	if now.Sub(mark.At) > life {
 		return false
 	}
@@ -291,7 +291,7 @@
 }
 
 // limit is how many crashes in a row hold a request. m.mu is held.
-func (m *Memory) limit(s *suspect, now time.Time) int {
+func (m *Tracker) limit(s *suspect, now time.Time) int {
 	if !s.served.IsZero() && now.Sub(s.served) <= provenLife {
 		return provenTimes * m.limits.Crashes
 	}
@@ -300,7 +300,7 @@
 
 // settle puts a request among those that are held, or takes it from them, and returns who
 // is to be told of it, or nil. m.mu is held.
-func (m *Memory) settle(d Digest, now time.Time) func() {
+func (m *Tracker) settle(d Digest, now time.Time) func() {
 	s := m.find(d)
 	was := m.held.Contains(d)
 	is := m.limits.Crashes > 0 && len(s.crashes) >= m.limit(s, now)
--- a/pkg/poison/poison_test.go
+++ b/pkg/poison/poison_test.go
@@ -23,7 +23,7 @@
 	at      float64
 }
 
-func (m *Memory) play(steps []step) {
+func (m *Tracker) play(steps []step) {
 	for _, s := range steps {
 		if s.replica == 0 {
 			m.RecordSuccess(body, at(s.at))
--- a/pkg/poison/tell.go
+++ b/pkg/poison/tell.go
@@ -18,9 +18,9 @@
 }
 
 // Updates receives after marks were learned that others are to know at once.
-func (m *Memory) Updates() <-chan struct{} { return m.news }
+func (m *Tracker) Updates() <-chan struct{} { return m.news }
 
-func (m *Memory) wake() {
+func (m *Tracker) wake() {
 	select {
 	case m.news <- struct{}{}:
 	default:
@@ -28,7 +28,7 @@
 }
 
 // noteRecent keeps a mark to be told again. m.mu is held.
-func (m *Memory) noteRecent(mark Mark, now time.Time) {
+func (m *Tracker) noteRecent(mark Mark, now time.Time) {
 	m.recent = append(m.recent, learned{mark, now})
 	if over := len(m.recent) - maxTold; over > 0 {
 		m.recent = m.recent[over:]
@@ -36,7 +36,7 @@
 }
 
 // TakePending returns the marks that nobody was told of yet.
-func (m *Memory) TakePending() []Mark {
+func (m *Tracker) TakePending() []Mark {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	untold := m.untold
@@ -45,7 +45,7 @@
 }
 
 // Recent returns the marks that were learned a moment ago.
-func (m *Memory) Recent(now time.Time) []Mark {
+func (m *Tracker) Recent(now time.Time) []Mark {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for len(m.recent) > 0 && now.Sub(m.recent[0].at) > recentTime {
@@ -60,7 +60,7 @@
 
 // Sample returns the marks of some requests, those that are held before others, others
 // each time: for a router that starts, or was cut off.
-func (m *Memory) Sample(requests int) []Mark {
+func (m *Tracker) Sample(requests int) []Mark {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	digests := append(m.held.Keys(), m.suspects.Keys()...)
@@ -84,4 +84,4 @@
 
 // Merge takes what another router told. In a large fleet what is new is told on, since
 // its teller can't tell everybody.
-func (m *Memory) Merge(marks []Mark, tellOn bool, now time.Time) { m.learn(marks, tellOn, now) }
+func (m *Tracker) Merge(marks []Mark, tellOn bool, now time.Time) { m.learn(marks, tellOn, now) }
