--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -69,7 +69,7 @@
 	for range 3 {
 		require.NoError(t, a.Chunk([]byte("data: x\n\n")))
 	}
-	a.finish(admission.Doubt(admission.StreamBroken, "broke"))
+	a.finish(admission.RefusePossiblyRun(admission.StreamBroken, "broke"))
 	assert.Equal(t, 4, w.set)
 }
 
@@ -99,7 +99,7 @@
 	a := newAnswer(&deadlines{ResponseRecorder: w}, false, time.Second, testObserver())
 	require.NoError(t, a.Head(dispatch.Head{Status: 200, ContentType: "application/json"}))
 	require.NoError(t, a.Chunk([]byte(`{"half":`)))
-	refusal := admission.Doubt(admission.StreamBroken, "broke")
+	refusal := admission.RefusePossiblyRun(admission.StreamBroken, "broke")
 	refusal.RetryAfter = 1500 * time.Millisecond
 	a.finish(refusal)
 	assert.Equal(t, 502, w.Code)
@@ -114,5 +114,5 @@
 	a := newAnswer(&deadlines{ResponseRecorder: httptest.NewRecorder()}, false, time.Second, testObserver())
 	require.NoError(t, a.Head(dispatch.Head{Status: 200}))
 	require.NoError(t, a.Chunk(make([]byte, holdAtMost+1)))
-	assert.Panics(t, func() { a.finish(admission.Doubt(admission.StreamBroken, "broke")) })
+	assert.Panics(t, func() { a.finish(admission.RefusePossiblyRun(admission.StreamBroken, "broke")) })
 }
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -45,12 +45,12 @@
 func (r *Router) claimRefusal(job *Job, err error) *admission.Refusal {
 	switch {
 	case errors.Is(err, once.ErrDone):
-		return admission.Doubt(admission.AlreadyRan, "a request with this key has already run")
+		return admission.RefusePossiblyRun(admission.AlreadyRan, "a request with this key has already run")
 	case errors.Is(err, once.ErrHeld):
-		return later(admission.Doubt(admission.ClaimHeld, "another request with this key is under way or its outcome is not known"))
+		return later(admission.RefusePossiblyRun(admission.ClaimHeld, "another request with this key is under way or its outcome is not known"))
 	case errors.Is(err, once.ErrUnsettled):
 		r.log.Write(event.ClaimUnsettled, event.F("request", job.ID), event.F("error", err))
-		return later(admission.Doubt(admission.ClaimUnknown, "the claim's outcome is not known; this attempt did not run"))
+		return later(admission.RefusePossiblyRun(admission.ClaimUnknown, "the claim's outcome is not known; this attempt did not run"))
 	}
 	return admission.Refuse(admission.ServiceDown, retryAfterOutage, "keys cannot be claimed now")
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -260,12 +260,12 @@
 	case errors.Is(err, peer.ErrUnreachable):
 		return admission.Refuse(admission.DeadlineMiss, 0, "the deadline passed before the request was sent")
 	case errors.Is(err, dispatch.ErrCallerGone) || errors.Is(ctx.Err(), context.Canceled):
-		return admission.Doubt(admission.CallerGone, "the caller went away")
+		return admission.RefusePossiblyRun(admission.CallerGone, "the caller went away")
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return admission.Doubt(admission.DeadlineMiss, "the deadline passed while the request ran")
+		return admission.RefusePossiblyRun(admission.DeadlineMiss, "the deadline passed while the request ran")
 	}
 	r.failed(at.owner.Name, event.PeerLost, err)
-	return admission.Doubt(admission.HopBroken, "the connection to the engines' owner broke")
+	return admission.RefusePossiblyRun(admission.HopBroken, "the connection to the engines' owner broke")
 }
 
 // forwarded passes the events of a forwarded request to the caller's answer.
--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -117,7 +117,7 @@
 	return &Refusal{Reason: reason, NotRun: true, RetryAfter: after, Detail: detail}
 }
 
-// Doubt returns a refusal of a request that may have run.
-func Doubt(reason Reason, detail string) *Refusal {
+// RefusePossiblyRun returns a refusal of a request that may have run.
+func RefusePossiblyRun(reason Reason, detail string) *Refusal {
 	return &Refusal{Reason: reason, Detail: detail}
 }
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -232,6 +232,6 @@
 	}
 	refusal := Refuse(QueueFull, 0, "full")
 	assert.ErrorIs(t, refusal, ErrRefused)
-	assert.False(t, Doubt(TargetFailed, "").NotRun)
+	assert.False(t, RefusePossiblyRun(TargetFailed, "").NotRun)
 	assert.Equal(t, "reason_99", fmt.Sprint(Reason(99)))
 }
