--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -201,7 +201,7 @@
 	if resp.Header.Get(AttemptHeader) != a.request.Attempt {
 		// The connection's framing cannot be trusted any more: closing the body
 		// before its end closes it.
-		return Outcome{Begun: a.begun, Reason: admission.Crossed, Err: errCrossed}
+		return Outcome{Begun: a.begun, Reason: admission.AnswerCrossed, Err: errCrossed}
 	}
 	out := a.answered(resp, &watched{body: resp.Body, silence: silence, idle: a.dispatcher.idle})
 	out.Leaving = resp.Header.Get(LeavingHeader) != ""
@@ -213,7 +213,7 @@
 // it leaves.
 func (a *attempt) answered(resp *http.Response, body io.Reader) Outcome {
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(LeavingHeader) != "" {
-		return Outcome{NotRun: !a.begun, Begun: a.begun, Reason: admission.Leaving}
+		return Outcome{NotRun: !a.begun, Begun: a.begun, Reason: admission.TargetLeaving}
 	}
 	return a.pass(resp, body)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -73,7 +73,7 @@
 		want    Outcome
 	}{
 		{"another attempt's answer", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(AttemptHeader, "other") },
-			false, record{}, Outcome{Reason: admission.Crossed}},
+			false, record{}, Outcome{Reason: admission.AnswerCrossed}},
 		{"served, and leaving", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(LeavingHeader, "true") },
 			false, record{}, Outcome{Whole: true, Begun: true, Leaving: true}},
 		{"asks for rest", func(w http.ResponseWriter, _ *http.Request) {
@@ -83,7 +83,7 @@
 		{"leaving", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(LeavingHeader, "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
-		}, false, record{}, Outcome{NotRun: true, Leaving: true, Reason: admission.Leaving}},
+		}, false, record{}, Outcome{NotRun: true, Leaving: true, Reason: admission.TargetLeaving}},
 		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			false, record{}, Outcome{Reason: admission.TargetFailed}},
 		{"half a body", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/edge/problem.go
+++ b/internal/edge/problem.go
@@ -51,16 +51,16 @@
 }
 
 var reasonStatus = map[admission.Reason]int{
-	admission.SurgeLimit:   http.StatusTooManyRequests,
-	admission.QueueFull:    http.StatusServiceUnavailable,
-	admission.DeadlineMiss: http.StatusGatewayTimeout,
-	admission.AlreadyRan:   http.StatusConflict,
-	admission.ClaimHeld:    http.StatusConflict,
-	admission.TargetFailed: http.StatusBadGateway,
-	admission.Leaving:      http.StatusBadGateway,
-	admission.HopBroken:    http.StatusBadGateway,
-	admission.StreamBroken: http.StatusBadGateway,
-	admission.Crossed:      http.StatusBadGateway,
+	admission.SurgeLimit:    http.StatusTooManyRequests,
+	admission.QueueFull:     http.StatusServiceUnavailable,
+	admission.DeadlineMiss:  http.StatusGatewayTimeout,
+	admission.AlreadyRan:    http.StatusConflict,
+	admission.ClaimHeld:     http.StatusConflict,
+	admission.TargetFailed:  http.StatusBadGateway,
+	admission.TargetLeaving: http.StatusBadGateway,
+	admission.HopBroken:     http.StatusBadGateway,
+	admission.StreamBroken:  http.StatusBadGateway,
+	admission.AnswerCrossed: http.StatusBadGateway,
 }
 
 // refusalProblem tells the caller of a refusal.
--- a/internal/router/local.go
+++ b/internal/router/local.go
@@ -36,7 +36,7 @@
 	if !refusal.NotRun || ctx.Err() != nil {
 		return false
 	}
-	if refusal.Reason == admission.Leaving {
+	if refusal.Reason == admission.TargetLeaving {
 		return true
 	}
 	if refusal.Reason != admission.TargetFailed {
@@ -234,10 +234,10 @@
 		return nil
 	}
 	switch {
-	case outcome.Reason == admission.Leaving:
+	case outcome.Reason == admission.TargetLeaving:
 	case outcome.Unreachable:
 		r.failed(target.Name, event.EngineSuspect, outcome.Err)
-	case outcome.Reason == admission.Crossed:
+	case outcome.Reason == admission.AnswerCrossed:
 		r.metrics.Crossed.Inc(1)
 		r.log.Write(event.AnswerCrossed, event.F("request", job.ID), event.F("target", target.Name))
 	case outcome.Reason == admission.CallerGone || errors.Is(ctx.Err(), context.Canceled):
--- a/internal/router/plain.go
+++ b/internal/router/plain.go
@@ -72,7 +72,7 @@
 // callAgain tells whether another replica may be called after this refusal: the
 // call did not run, or the service's calls may be repeated.
 func (r *Router) callAgain(ctx context.Context, call *Call, refusal *admission.Refusal) bool {
-	failed := refusal.Reason == admission.TargetFailed || refusal.Reason == admission.Leaving
+	failed := refusal.Reason == admission.TargetFailed || refusal.Reason == admission.TargetLeaving
 	repeatable := failed && call.Service.Repeatable && call.Job.Key == ""
 	again := *refusal
 	again.NotRun = refusal.NotRun || repeatable
--- a/internal/router/statements.go
+++ b/internal/router/statements.go
@@ -30,7 +30,7 @@
 	defer r.mu.Unlock()
 	switch health := r.view.Health(name, steady.Now()); health {
 	case fleet.Departing, fleet.Resting:
-		return admission.Refuse(admission.Leaving, time.Second, fmt.Sprintf("target %s: %s", name, health))
+		return admission.Refuse(admission.TargetLeaving, time.Second, fmt.Sprintf("target %s: %s", name, health))
 	}
 	return nil
 }
--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -35,47 +35,47 @@
 
 // The reasons.
 const (
-	Served       Reason = 0
-	SurgeLimit   Reason = 1
-	QueueFull    Reason = 2
-	DeadlineMiss Reason = 3
-	NoEngine     Reason = 4
-	Stopping     Reason = 5
-	TargetFailed Reason = 6
-	HopBroken    Reason = 7
-	AlreadyRan   Reason = 8
-	ClaimHeld    Reason = 9
-	ClaimUnknown Reason = 10
-	ServiceDown  Reason = 11
-	StreamBroken Reason = 12
-	Crossed      Reason = 13
-	Displaced    Reason = 14
-	CallerGone   Reason = 15
-	GroupFull    Reason = 16
-	Leaving      Reason = 17
-	Poisoned     Reason = 18
+	Served        Reason = 0
+	SurgeLimit    Reason = 1
+	QueueFull     Reason = 2
+	DeadlineMiss  Reason = 3
+	NoEngine      Reason = 4
+	Stopping      Reason = 5
+	TargetFailed  Reason = 6
+	HopBroken     Reason = 7
+	AlreadyRan    Reason = 8
+	ClaimHeld     Reason = 9
+	ClaimUnknown  Reason = 10
+	ServiceDown   Reason = 11
+	StreamBroken  Reason = 12
+	AnswerCrossed Reason = 13
+	Displaced     Reason = 14
+	CallerGone    Reason = 15
+	GroupFull     Reason = 16
+	TargetLeaving Reason = 17
+	Poisoned      Reason = 18
 )
 
 var reasonNames = map[Reason]string{
-	Served:       "served",
-	SurgeLimit:   "surge_limit",
-	QueueFull:    "queue_full",
-	DeadlineMiss: "deadline",
-	NoEngine:     "no_engine",
-	Stopping:     "stopping",
-	TargetFailed: "target_failed",
-	HopBroken:    "hop_broken",
-	AlreadyRan:   "already_ran",
-	ClaimHeld:    "claim_held",
-	ClaimUnknown: "claim_unknown",
-	ServiceDown:  "service_down",
-	StreamBroken: "stream_broken",
-	Crossed:      "answer_crossed",
-	Displaced:    "displaced",
-	CallerGone:   "caller_gone",
-	GroupFull:    "group_full",
-	Leaving:      "target_leaving",
-	Poisoned:     "crashes_target",
+	Served:        "served",
+	SurgeLimit:    "surge_limit",
+	QueueFull:     "queue_full",
+	DeadlineMiss:  "deadline",
+	NoEngine:      "no_engine",
+	Stopping:      "stopping",
+	TargetFailed:  "target_failed",
+	HopBroken:     "hop_broken",
+	AlreadyRan:    "already_ran",
+	ClaimHeld:     "claim_held",
+	ClaimUnknown:  "claim_unknown",
+	ServiceDown:   "service_down",
+	StreamBroken:  "stream_broken",
+	AnswerCrossed: "answer_crossed",
+	Displaced:     "displaced",
+	CallerGone:    "caller_gone",
+	GroupFull:     "group_full",
+	TargetLeaving: "target_leaving",
+	Poisoned:      "crashes_target",
 }
 
 // String returns the name used in answers, metrics and logs.
