--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -50,7 +50,7 @@
 		p.refresh(r.board)
 	}
 	routers := r.fleetSize()
-	r.limits.Demands(now, func(organisation string, _ float64) {
+	r.limits.VisitDemands(now, func(organisation string, _ float64) {
 		r.limits.SetPart(now, organisation, r.board.OthersDemand(shortName(organisation)), routers)
 	})
 }
@@ -151,7 +151,7 @@
 		}
 	}
 	demands := make(map[fleet.ID]float64)
-	r.limits.Pressing(steady.Now(), r.fleetSize(), func(organisation string, demand float64) {
+	r.limits.VisitNearLimit(steady.Now(), r.fleetSize(), func(organisation string, demand float64) {
 		demands[shortName(organisation)] = demand
 	})
 	d := fleet.Digest{
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -105,7 +105,7 @@
 		}
 	})
 	slices.SortFunc(s.Instances, func(a, b InstanceState) int { return cmp.Compare(a.Name, b.Name) })
-	r.limits.Demands(now, func(organisation string, demand float64) {
+	r.limits.VisitDemands(now, func(organisation string, demand float64) {
 		s.Demands = append(s.Demands, DemandState{Organisation: organisation, Demand: demand, Others: r.board.OthersDemand(shortName(organisation))})
 	})
 	slices.SortFunc(s.Demands, func(a, b DemandState) int { return cmp.Compare(a.Organisation, b.Organisation) })
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -187,7 +187,7 @@
 	require.Nil(t, l.Admit(start, "small", Limit{Rate: 1000, Burst: 10_000}, 100, 1))
 	require.Nil(t, l.Admit(start, "large", Limit{Rate: 1000, Burst: 10_000}, 4000, 1))
 	var told []string
-	l.Pressing(start, 2, func(organisation string, _ float64) { told = append(told, organisation) })
+	l.VisitNearLimit(start, 2, func(organisation string, _ float64) { told = append(told, organisation) })
 	assert.Equal(t, []string{"large"}, told)
 }
 
--- a/pkg/admission/limits.go
+++ b/pkg/admission/limits.go
@@ -89,10 +89,10 @@
 	return b.demand.Rate(now)
 }
 
-// Pressing calls visit for each organisation whose demand here would, if all
+// VisitNearLimit calls visit for each organisation whose demand here would, if all
 // routers saw as much, come near its limit. Only these need to be told to other
 // routers: for the rest the split does not bind.
-func (l *Limits) Pressing(now time.Time, routers int, visit func(organisation string, demand float64)) {
+func (l *Limits) VisitNearLimit(now time.Time, routers int, visit func(organisation string, demand float64)) {
 	const near = 0.5
 	for organisation, b := range l.buckets {
 		demand := b.demand.Rate(now)
@@ -102,8 +102,8 @@
 	}
 }
 
-// Demands calls visit for each organisation seen lately and forgets the others.
-func (l *Limits) Demands(now time.Time, visit func(organisation string, demand float64)) {
+// VisitDemands calls visit for each organisation seen lately and forgets the others.
+func (l *Limits) VisitDemands(now time.Time, visit func(organisation string, demand float64)) {
 	const forgotten = 0.01
 	for organisation, b := range l.buckets {
 		demand := b.demand.Rate(now)
