--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -51,7 +51,7 @@
 	}
 	routers := r.fleetSize()
 	r.limits.VisitDemands(now, func(organisation string, _ float64) {
-		r.limits.SetPart(now, organisation, r.board.OthersDemand(shortName(organisation)), routers)
+		r.limits.SetFraction(now, organisation, r.board.OthersDemand(shortName(organisation)), routers)
 	})
 }
 
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -203,11 +203,11 @@
 		{0, 100, 4, 0.025}, // none of it here
 		{50, 150, 4, 0.25},
 	} {
-		assert.InDelta(t, c.want, Part(c.own, c.others, c.routers), 1e-9, "%+v", c)
+		assert.InDelta(t, c.want, LimitFraction(c.own, c.others, c.routers), 1e-9, "%+v", c)
 	}
 	sum := 0.0
 	for _, own := range []float64{10, 20, 70, 0} {
-		sum += Part(own, 100-own, 4)
+		sum += LimitFraction(own, 100-own, 4)
 	}
 	assert.InDelta(t, 1, sum, 1e-9, "the parts are the limit")
 }
--- a/pkg/admission/limits.go
+++ b/pkg/admission/limits.go
@@ -115,21 +115,21 @@
 	}
 }
 
-// SetPart gives this router its part of the organisation's limit from the
+// SetFraction gives this router its part of the organisation's limit from the
 // demand of the others, in work tokens a second, as the digests tell it. routers is the
 // number of routers; without digests pass others < 0 for an even split.
-func (l *Limits) SetPart(now time.Time, organisation string, others float64, routers int) {
+func (l *Limits) SetFraction(now time.Time, organisation string, others float64, routers int) {
 	b := l.buckets[organisation]
 	if b == nil {
 		return
 	}
-	b.part = Part(b.demand.Rate(now), others, routers)
+	b.part = LimitFraction(b.demand.Rate(now), others, routers)
 }
 
-// Part is the fraction of a limit for a router that sees demand own while the
+// LimitFraction is the fraction of a limit for a router that sees demand own while the
 // others see others. A tenth is split evenly, so that a router whose demand is
 // new admits something at once.
-func Part(own, others float64, routers int) float64 {
+func LimitFraction(own, others float64, routers int) float64 {
 	const evenly = 0.1
 	even := 1 / float64(max(routers, 1))
 	total := own + others
--- a/test/measure/fair.go
+++ b/test/measure/fair.go
@@ -162,7 +162,7 @@
 					others += other.Demand(w.clock(), fmt.Sprint(org))
 				}
 			}
-			limits.SetPart(w.clock(), fmt.Sprint(org), others, fairRouters)
+			limits.SetFraction(w.clock(), fmt.Sprint(org), others, fairRouters)
 		}
 	}
 	w.after(time.Second, w.split)
