--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -108,7 +108,7 @@
 	// cutting ends the calls that are in flight.
 	cutting context.Context
 	cut     context.CancelFunc
-	longest *admission.Longest
+	longest *admission.MaxDurations
 	// probes find out whether a replica has ended.
 	probes singleflight.Group
 	broken brokenRequests
@@ -132,7 +132,7 @@
 		metrics:  m,
 		started:  steady.Now(),
 		retries:  admission.NewRetries(o.Limits.RetryRatio, o.Limits.RetryBurst),
-		longest:  admission.NewLongest(),
+		longest:  admission.NewMaxDurations(),
 	}
 	front.limits.Store(&o.Limits)
 	front.cutting, front.cut = context.WithCancel(context.Background())
--- a/pkg/admission/longest.go
+++ b/pkg/admission/longest.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Longest keeps how long requests of each kind took at most lately, so that one
+// MaxDurations keeps how long requests of each kind took at most lately, so that one
 // that can't end in the time left isn't begun. It is safe for concurrent use.
-type Longest struct {
+type MaxDurations struct {
 	mu    sync.Mutex
 	kinds map[string]*spans
 }
@@ -22,13 +22,13 @@
 // shows its long ones in it, and one that became quick is believed after two.
 const longestSpan = 10 * time.Second
 
-// NewLongest returns an empty Longest.
-func NewLongest() *Longest {
-	return &Longest{kinds: make(map[string]*spans)}
+// NewMaxDurations returns an empty Longest.
+func NewMaxDurations() *MaxDurations {
+	return &MaxDurations{kinds: make(map[string]*spans)}
 }
 
-// Took notes that a request ended well.
-func (l *Longest) Took(kind string, took time.Duration, now time.Time) {
+// Record notes that a request ended well.
+func (l *MaxDurations) Record(kind string, took time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.kinds[kind]
@@ -53,8 +53,8 @@
 	s.began, s.now = now, 0
 }
 
-// Of returns the longest time of a kind, or false if none ended lately.
-func (l *Longest) Of(kind string, now time.Time) (time.Duration, bool) {
+// Max returns the longest time of a kind, or false if none ended lately.
+func (l *MaxDurations) Max(kind string, now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.kinds[kind]
--- a/pkg/admission/longest_test.go
+++ b/pkg/admission/longest_test.go
@@ -26,14 +26,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
-			l := NewLongest()
+			l := NewMaxDurations()
 			for _, one := range test.took {
-				l.Took("a", one.took, start.Add(one.at))
+				l.Record("a", one.took, start.Add(one.at))
 			}
-			longest, known := l.Of("a", start.Add(test.at))
+			longest, known := l.Max("a", start.Add(test.at))
 			assert.Equal(t, test.want, longest)
 			assert.Equal(t, test.known, known)
-			_, known = l.Of("b", start)
+			_, known = l.Max("b", start)
 			assert.False(t, known)
 		})
 	}
