--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -97,7 +97,7 @@
 	metrics  *Metrics
 	started  time.Time
 	limits   atomic.Pointer[Limits]
-	retries  *admission.Retries
+	retries  *admission.RetryBudget
 	active   atomic.Int64
 	served   atomic.Uint64
 	spent    atomic.Bool
@@ -131,7 +131,7 @@
 		log:      log,
 		metrics:  m,
 		started:  steady.Now(),
-		retries:  admission.NewRetries(o.Limits.RetryRatio, o.Limits.RetryBurst),
+		retries:  admission.NewRetryBudget(o.Limits.RetryRatio, o.Limits.RetryBurst),
 		longest:  admission.NewMaxDurations(),
 	}
 	front.limits.Store(&o.Limits)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -72,7 +72,7 @@
 	view    *fleet.View
 	board   *fleet.DigestTable
 	limits  *admission.Limits
-	retries *admission.Retries
+	retries *admission.RetryBudget
 	traffic *placement.Traffic
 	pools   map[poolName]*pool
 	engines map[uint64]*owner.Engine
@@ -111,7 +111,7 @@
 		rnd:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		view:        fleet.NewView(),
 		limits:      admission.NewLimits(),
-		retries:     admission.NewRetries(admission.DefaultRetryEarned, admission.DefaultRetryReserve),
+		retries:     admission.NewRetryBudget(admission.DefaultRetryRatio, admission.DefaultRetryReserve),
 		traffic:     placement.NewTraffic(),
 		pools:       make(map[poolName]*pool),
 		engines:     make(map[uint64]*owner.Engine),
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -213,7 +213,7 @@
 }
 
 func TestRetriesStayATenth(t *testing.T) {
-	r := NewRetries(DefaultRetryEarned, DefaultRetryReserve)
+	r := NewRetryBudget(DefaultRetryRatio, DefaultRetryReserve)
 	spent := 0
 	for range 1000 {
 		r.Earn()
