--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -126,7 +126,7 @@
 		q.Next(now, any1)
 	}
 	// The whole queue is served at 1,000 a second, but not to this flow.
-	assert.InDelta(t, 20, q.Wait("slow", 1, 1000, now).Seconds(), 6)
+	assert.InDelta(t, 20, q.EstimateWait("slow", 1, 1000, now).Seconds(), 6)
 }
 
 // TestQueueKeepsItsCounts checks the queue against a plain model under random use.
--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -14,8 +14,8 @@
 	// Priority orders items within a flow, larger first.
 	Priority int
 	// Deadline is when the answer is useless, Service how long serving takes.
-	Deadline time.Time
-	Service  time.Duration
+	Deadline    time.Time
+	ServiceTime time.Duration
 	// Work is the estimate of its work.
 	Work float64
 	// Payload is the caller's.
@@ -74,12 +74,12 @@
 	return sum
 }
 
-// Wait estimates how long a new item of this flow would wait if work is served
+// EstimateWait estimates how long a new item of this flow would wait if work is served
 // at rate, in work tokens a second: the flow's own backlog at its share of the
 // rate, or everything that waits, whichever is sooner. A flow that has waited
 // for a while knows better: by what it was served. Other flows that never wait
 // take their part too, and no sum over those that wait sees it.
-func (q *Queue[T]) Wait(name string, share, rate float64, now time.Time) time.Duration {
+func (q *Queue[T]) EstimateWait(name string, share, rate float64, now time.Time) time.Duration {
 	if q.length == 0 || rate <= 0 {
 		return 0
 	}
@@ -106,8 +106,8 @@
 // displaced by it, if any: a full queue refuses the flow that is furthest above
 // its share of the places, be it the newcomer's or another's.
 func (q *Queue[T]) Push(item *Item[T], now time.Time, rate float64) (*Refusal, *Item[T]) {
-	wait := q.Wait(item.Flow, item.Share, rate, now)
-	if now.Add(wait + item.Service).After(item.Deadline) {
+	wait := q.EstimateWait(item.Flow, item.Share, rate, now)
+	if now.Add(wait + item.ServiceTime).After(item.Deadline) {
 		return Refuse(DeadlineMiss, wait, "the deadline cannot be met"), nil
 	}
 	var displaced *Item[T]
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -147,13 +147,13 @@
 
 func (g *Group[T]) newItem(t *Ticket[T]) *admission.Item[*Ticket[T]] {
 	return &admission.Item[*Ticket[T]]{
-		Flow:     t.Flow,
-		Share:    t.Share,
-		Priority: t.Priority,
-		Deadline: t.Deadline,
-		Service:  g.leastService(t.Work),
-		Work:     t.Work,
-		Payload:  t,
+		Flow:        t.Flow,
+		Share:       t.Share,
+		Priority:    t.Priority,
+		Deadline:    t.Deadline,
+		ServiceTime: g.leastService(t.Work),
+		Work:        t.Work,
+		Payload:     t,
 	}
 }
 
