--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -187,7 +187,7 @@
 
 func (r *Router) chooseGroup(p *pool, job *Job, full uint64) placement.Choice {
 	if from := p.layout.Group(full); full != 0 && from != placement.None {
-		return p.layout.PassOn(from, p.eligible(job.Adapter), p.loads, r.rnd)
+		return p.layout.Reroute(from, p.eligible(job.Adapter), p.loads, r.rnd)
 	}
 	return p.layout.Choose(r.request(p, job), p.loads, job.Group.Bound, r.rnd)
 }
--- a/pkg/placement/choose.go
+++ b/pkg/placement/choose.go
@@ -168,9 +168,9 @@
 	return Choice{Group: first, Engine: None, Origin: FromDiversion}
 }
 
-// PassOn returns another group for a request that the owner of from could not
+// Reroute returns another group for a request that the owner of from could not
 // place because all of its engines are at the bound.
-func (l *Layout) PassOn(from int, only []int, loads Loads, rnd *rand.Rand) Choice {
+func (l *Layout) Reroute(from int, only []int, loads Loads, rnd *rand.Rand) Choice {
 	none := Choice{Group: from, Engine: None, Origin: FromNothing}
 	return l.divert(none, only, loads, l.Mean(loads), rnd)
 }
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -131,8 +131,8 @@
 	for range 200 {
 		assert.Contains(t, []int{1, 3}, l.Choose(Request{Engine: None, Only: []int{1, 3}}, hot, 1.25, rnd).Group)
 	}
-	assert.Equal(t, 3, l.PassOn(1, []int{1, 3}, Loads{0, 9, 0, 1}, rnd).Group)
-	assert.Equal(t, 1, l.PassOn(1, []int{1}, Loads{0, 9, 0, 1}, rnd).Group, "nobody else can")
+	assert.Equal(t, 3, l.Reroute(1, []int{1, 3}, Loads{0, 9, 0, 1}, rnd).Group)
+	assert.Equal(t, 1, l.Reroute(1, []int{1}, Loads{0, 9, 0, 1}, rnd).Group, "nobody else can")
 	assert.Equal(t, None, l.Choose(Request{Engine: None, Only: []int{}}, loads, 1.25, rnd).Group)
 	token := l.Groups[1].Engines[0]
 	assert.Equal(t, FromToken, l.Choose(Request{Engine: token, Only: []int{1, 3}}, loads, 1.25, rnd).Origin)
--- a/test/measure/croftyard.go
+++ b/test/measure/croftyard.go
@@ -286,7 +286,7 @@
 	var choice placement.Choice
 	if from != placement.None {
 		c.w.figures.passed++
-		choice = l.PassOn(from, nil, edge.loads, c.w.rnd)
+		choice = l.Reroute(from, nil, edge.loads, c.w.rnd)
 	} else {
 		engine := placement.None
 		if j.chat.engine != 0 {
