--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -194,11 +194,11 @@
 
 func (r *Router) request(p *pool, job *Job) placement.Request {
 	return placement.Request{
-		Chat:        job.Chat,
-		Prefix:      job.Prefix,
-		PrefixShare: r.traffic.Seen(job.Prefix, steady.Now()),
-		Engine:      r.tokenEngine(p, job.Engine),
-		Only:        p.eligible(job.Adapter),
+		Chat:           job.Chat,
+		Prefix:         job.Prefix,
+		PrefixShare:    r.traffic.Seen(job.Prefix, steady.Now()),
+		Engine:         r.tokenEngine(p, job.Engine),
+		EligibleGroups: p.eligible(job.Adapter),
 	}
 }
 
--- a/pkg/placement/choose.go
+++ b/pkg/placement/choose.go
@@ -16,9 +16,9 @@
 	PrefixShare float64
 	// Engine is the index of the token's engine in the layout, or None.
 	Engine int
-	// Only are the groups that can serve the request, such as those with its
+	// EligibleGroups are the groups that can serve the request, such as those with its
 	// adapter; nil for all.
-	Only []int
+	EligibleGroups []int
 }
 
 // Loads is what the edge knows of the groups: requests queued and in flight
@@ -92,7 +92,7 @@
 	if rnd.Float64() >= 1-target/load {
 		return choice
 	}
-	return l.divert(choice, req.Only, loads, mean, rnd)
+	return l.divert(choice, req.EligibleGroups, loads, mean, rnd)
 }
 
 // home is the group a request would go to if no group were overloaded.
@@ -100,7 +100,7 @@
 	if len(l.Groups) == 0 {
 		return Choice{Group: None, Engine: None}
 	}
-	if req.Only != nil {
+	if req.EligibleGroups != nil {
 		return l.homeAmong(req)
 	}
 	if req.Engine != None {
@@ -115,12 +115,12 @@
 // homeAmong is home for a request that only some groups can serve: they are few,
 // so a shared prefix finds them by itself.
 func (l *Layout) homeAmong(req Request) Choice {
-	if req.Engine != None && slices.Contains(req.Only, l.GroupOf[req.Engine]) {
+	if req.Engine != None && slices.Contains(req.EligibleGroups, l.GroupOf[req.Engine]) {
 		return Choice{Group: l.GroupOf[req.Engine], Engine: req.Engine, Origin: FromToken}
 	}
 	best := Choice{Group: None, Engine: None, Origin: FromChat}
 	bestScore := -1.0
-	for _, g := range req.Only {
+	for _, g := range req.EligibleGroups {
 		weight := float64(len(l.Groups[g].Engines))
 		if s := weightedScore(req.Chat, l.Groups[g].ID, weight); s > bestScore {
 			best.Group = g
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -124,19 +124,19 @@
 	loads := Loads{1, 1, 1, 1}
 	used := map[int]bool{}
 	for chat := range uint64(200) {
-		used[l.Choose(Request{Chat: Hash(fmt.Sprint(chat)), Prefix: 5, Engine: None, Only: []int{1, 3}}, loads, 1.25, rnd).Group] = true
+		used[l.Choose(Request{Chat: Hash(fmt.Sprint(chat)), Prefix: 5, Engine: None, EligibleGroups: []int{1, 3}}, loads, 1.25, rnd).Group] = true
 	}
 	assert.Equal(t, map[int]bool{1: true, 3: true}, used)
 	hot := Loads{0, 40, 0, 40}
 	for range 200 {
-		assert.Contains(t, []int{1, 3}, l.Choose(Request{Engine: None, Only: []int{1, 3}}, hot, 1.25, rnd).Group)
+		assert.Contains(t, []int{1, 3}, l.Choose(Request{Engine: None, EligibleGroups: []int{1, 3}}, hot, 1.25, rnd).Group)
 	}
 	assert.Equal(t, 3, l.Reroute(1, []int{1, 3}, Loads{0, 9, 0, 1}, rnd).Group)
 	assert.Equal(t, 1, l.Reroute(1, []int{1}, Loads{0, 9, 0, 1}, rnd).Group, "nobody else can")
-	assert.Equal(t, None, l.Choose(Request{Engine: None, Only: []int{}}, loads, 1.25, rnd).Group)
+	assert.Equal(t, None, l.Choose(Request{Engine: None, EligibleGroups: []int{}}, loads, 1.25, rnd).Group)
 	token := l.Groups[1].Engines[0]
-	assert.Equal(t, FromToken, l.Choose(Request{Engine: token, Only: []int{1, 3}}, loads, 1.25, rnd).Origin)
-	assert.Equal(t, FromChat, l.Choose(Request{Engine: token, Only: []int{3}}, loads, 1.25, rnd).Origin)
+	assert.Equal(t, FromToken, l.Choose(Request{Engine: token, EligibleGroups: []int{1, 3}}, loads, 1.25, rnd).Origin)
+	assert.Equal(t, FromChat, l.Choose(Request{Engine: token, EligibleGroups: []int{3}}, loads, 1.25, rnd).Origin)
 }
 
 func TestPrefixSpreadsByItsShare(t *testing.T) {
