--- a/internal/router/explain.go
+++ b/internal/router/explain.go
@@ -84,7 +84,7 @@
 		return
 	}
 	e.Pool = p.name.String()
-	e.Mean = p.layout.Mean(p.loads)
+	e.Mean = p.layout.MeanLoad(p.loads)
 	e.Target = max(job.Group.Bound*e.Mean, e.Mean+1)
 	request := placement.Request{Chat: job.Chat, Engine: r.tokenEngine(p, job.Engine)}
 	// A bound that nothing exceeds shows the group before any diversion.
--- a/internal/router/forwarded.go
+++ b/internal/router/forwarded.go
@@ -39,7 +39,7 @@
 	p := r.pools[poolName{DataCentre: r.settings.DataCentre, Model: m.Model}]
 	group := placement.None
 	if p != nil {
-		group = p.layout.Group(m.EngineGroup)
+		group = p.layout.GroupIndex(m.EngineGroup)
 	}
 	r.retries.Earn()
 	r.mu.Unlock()
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -100,7 +100,7 @@
 
 // members returns the engines of a group, none if the group is gone.
 func (p *pool) members(id uint64, state func(fleet.Instance) *owner.Engine) []*owner.Engine {
-	g := p.layout.Group(id)
+	g := p.layout.GroupIndex(id)
 	if g == placement.None {
 		return nil
 	}
@@ -156,7 +156,7 @@
 	}
 	board.AddGroupLoads(p.index, p.loads)
 	for id, owned := range p.owned {
-		if g := p.layout.Group(id); g != placement.None {
+		if g := p.layout.GroupIndex(id); g != placement.None {
 			p.loads[g] = max(p.loads[g], 0) + owned.Load()
 		}
 	}
@@ -164,7 +164,7 @@
 }
 
 func (p *pool) setMeans() {
-	mean := p.layout.Mean(p.loads)
+	mean := p.layout.MeanLoad(p.loads)
 	for _, owned := range p.owned {
 		owned.SetFleetMean(mean)
 	}
@@ -175,7 +175,7 @@
 func (p *pool) pump(now time.Time) {
 	for id, owned := range p.owned {
 		owned.Dispatch(now)
-		if p.layout.Group(id) == placement.None {
+		if p.layout.GroupIndex(id) == placement.None {
 			owned.Drain(admission.NoEngine, now)
 			delete(p.owned, id)
 		}
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -186,7 +186,7 @@
 }
 
 func (r *Router) chooseGroup(p *pool, job *Job, full uint64) placement.Choice {
-	if from := p.layout.Group(full); full != 0 && from != placement.None {
+	if from := p.layout.GroupIndex(full); full != 0 && from != placement.None {
 		return p.layout.Reroute(from, p.eligible(job.Adapter), p.loads, r.rnd)
 	}
 	return p.layout.Choose(r.request(p, job), p.loads, job.Group.Bound, r.rnd)
@@ -208,7 +208,7 @@
 	if e := r.engines[hash]; hash == 0 || e == nil || e.Closed {
 		return placement.None
 	}
-	return p.layout.Engine(hash)
+	return p.layout.EngineIndex(hash)
 }
 
 // poolFor returns the model's pool in this data centre, or, when that has no
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -125,7 +125,7 @@
 }
 
 func (r *Router) poolState(p *pool) PoolState {
-	state := PoolState{DataCentre: p.name.DataCentre, Model: p.name.Model, MeanLoad: p.layout.Mean(p.loads)}
+	state := PoolState{DataCentre: p.name.DataCentre, Model: p.name.Model, MeanLoad: p.layout.MeanLoad(p.loads)}
 	for g, group := range p.layout.Groups {
 		gs := GroupState{Load: p.loads[g]}
 		if group.Owner != placement.None {
--- a/pkg/placement/choose.go
+++ b/pkg/placement/choose.go
@@ -53,9 +53,9 @@
 	Origin Origin
 }
 
-// Mean returns the mean load per engine over all groups whose load is known,
+// MeanLoad returns the mean load per engine over all groups whose load is known,
 // weighted by engines.
-func (l *Layout) Mean(loads Loads) float64 {
+func (l *Layout) MeanLoad(loads Loads) float64 {
 	var sum, engines float64
 	for g, load := range loads {
 		if load < 0 {
@@ -83,7 +83,7 @@
 	if choice.Group == None {
 		return choice
 	}
-	mean := l.Mean(loads)
+	mean := l.MeanLoad(loads)
 	target := max(bound*mean, mean+1)
 	load := loadOf(loads, choice.Group, mean)
 	if load <= target {
@@ -109,7 +109,7 @@
 	if req.Prefix != 0 {
 		return Choice{Group: l.prefixGroup(req, loads), Engine: None, Origin: FromPrefix}
 	}
-	return Choice{Group: l.ByRendezvous(req.Chat), Engine: None, Origin: FromChat}
+	return Choice{Group: l.GroupForKey(req.Chat), Engine: None, Origin: FromChat}
 }
 
 // homeAmong is home for a request that only some groups can serve: they are few,
@@ -144,7 +144,7 @@
 	pair := score(req.Prefix, req.Chat)
 	first := set[pair%uint64(len(set))]
 	second := set[(pair>>32)%uint64(len(set))]
-	mean := l.Mean(loads)
+	mean := l.MeanLoad(loads)
 	if loadOf(loads, second, mean) < loadOf(loads, first, mean) {
 		return second
 	}
@@ -172,7 +172,7 @@
 // place because all of its engines are at the bound.
 func (l *Layout) Reroute(from int, only []int, loads Loads, rnd *rand.Rand) Choice {
 	none := Choice{Group: from, Engine: None, Origin: FromNothing}
-	return l.divert(none, only, loads, l.Mean(loads), rnd)
+	return l.divert(none, only, loads, l.MeanLoad(loads), rnd)
 }
 
 // otherGroup returns a random group other than not, or None.
--- a/pkg/placement/layout.go
+++ b/pkg/placement/layout.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Engine returns the index of the engine with this hash, or None.
-func (l *Layout) Engine(engine uint64) int {
+// EngineIndex returns the index of the engine with this hash, or None.
+func (l *Layout) EngineIndex(engine uint64) int {
 	i, found := slices.BinarySearch(l.Engines, engine)
 	if !found {
 		return None
@@ -106,14 +106,14 @@
 	return i
 }
 
-// Group returns the index of the group with this ID, or None.
-func (l *Layout) Group(id uint64) int {
+// GroupIndex returns the index of the group with this ID, or None.
+func (l *Layout) GroupIndex(id uint64) int {
 	return slices.IndexFunc(l.Groups, func(g Group) bool { return g.ID == id })
 }
 
-// ByRendezvous returns the group for key, each group weighted by its number
+// GroupForKey returns the group for key, each group weighted by its number
 // of engines. It returns None when there are no groups.
-func (l *Layout) ByRendezvous(key uint64) int {
+func (l *Layout) GroupForKey(key uint64) int {
 	best := None
 	bestScore := -1.0
 	for g := range l.Groups {
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	moved := 0
 	for e, hash := range before.Engines {
-		if now := after.Engine(hash); now != None {
+		if now := after.EngineIndex(hash); now != None {
 			if before.Groups[before.GroupOf[e]].ID != after.Groups[after.GroupOf[now]].ID {
 				moved++
 			}
@@ -85,7 +85,7 @@
 	token := l.Choose(Request{Chat: 7, Engine: 3}, even, 1.25, rnd)
 	assert.Equal(t, Choice{Group: l.GroupOf[3], Engine: 3, Origin: FromToken}, token)
 	chat := l.Choose(Request{Chat: 7, Engine: None}, even, 1.25, rnd)
-	assert.Equal(t, Choice{Group: l.ByRendezvous(7), Engine: None, Origin: FromChat}, chat)
+	assert.Equal(t, Choice{Group: l.GroupForKey(7), Engine: None, Origin: FromChat}, chat)
 	prefix := l.Choose(Request{Chat: 7, Prefix: 9, Engine: None}, even, 1.25, rnd)
 	assert.Equal(t, FromPrefix, prefix.Origin)
 	empty := NewLayout(1, nil, nil, 10)
@@ -106,7 +106,7 @@
 			diverted++
 		}
 	}
-	want := 1 - bound*l.Mean(loads)/30
+	want := 1 - bound*l.MeanLoad(loads)/30
 	assert.InDelta(t, want, float64(diverted)/requests, 0.02)
 }
 
--- a/test/measure/croftyard.go
+++ b/test/measure/croftyard.go
@@ -117,7 +117,7 @@
 
 func (r *simRouter) members(id uint64) []*owner.Engine {
 	l := r.policy.layout(r.version)
-	g := l.Group(id)
+	g := l.GroupIndex(id)
 	if g == placement.None {
 		return nil
 	}
@@ -154,7 +154,7 @@
 	l := r.policy.layout(r.version)
 	var loads []fleet.GroupLoad
 	for id, g := range r.owned {
-		at := l.Group(id)
+		at := l.GroupIndex(id)
 		if at == placement.None {
 			continue
 		}
@@ -205,7 +205,7 @@
 		}
 	}
 	for id, g := range r.owned {
-		if at := l.Group(id); at != placement.None {
+		if at := l.GroupIndex(id); at != placement.None {
 			r.loads[at] = max(r.loads[at], 0) + g.Load()
 		}
 	}
@@ -213,7 +213,7 @@
 }
 
 func (r *simRouter) setMeans() {
-	mean := r.policy.layout(r.version).Mean(r.loads)
+	mean := r.policy.layout(r.version).MeanLoad(r.loads)
 	for _, g := range r.owned {
 		g.SetFleetMean(mean)
 	}
@@ -290,7 +290,7 @@
 	} else {
 		engine := placement.None
 		if j.chat.engine != 0 {
-			engine = l.Engine(j.chat.engine)
+			engine = l.EngineIndex(j.chat.engine)
 		}
 		share := edge.traffic.Seen(j.chat.prefix, c.w.clock())
 		choice = l.Choose(placement.Request{Chat: j.chat.id, Prefix: j.chat.prefix, PrefixShare: share, Engine: engine}, edge.loads, c.w.spec.bound, c.w.rnd)
@@ -308,7 +308,7 @@
 func (c *croftyard) enter(j *job) {
 	r := j.router
 	r.look()
-	if c.layout(r.version).Group(j.group) == placement.None {
+	if c.layout(r.version).GroupIndex(j.group) == placement.None {
 		c.passOn(j)
 		return
 	}
@@ -348,7 +348,7 @@
 
 func (c *croftyard) passOn(j *job) {
 	edge := c.routers[j.request.router]
-	c.choose(j, c.layout(edge.version).Group(j.group))
+	c.choose(j, c.layout(edge.version).GroupIndex(j.group))
 }
 
 func (r *simRouter) rejected(t *ticket, refusal *admission.Refusal) {
