--- a/pkg/owner/engine.go
+++ b/pkg/owner/engine.go
@@ -121,7 +121,7 @@
 	return placement.EngineState{
 		InFlight:   inFlight,
 		Slots:      e.Slots,
-		Holds:      prefix != 0 && e.prefixes.Contains(prefix),
+		HasPrefix:  prefix != 0 && e.prefixes.Contains(prefix),
 		Ineligible: e.Closed || adapter != 0 && !slices.Contains(e.Adapters, adapter),
 	}
 }
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -218,7 +218,7 @@
 	if t.LastHop {
 		mean = max(mean, g.Load())
 	}
-	return placement.Bounds{C: t.Bound, FleetMean: mean}
+	return placement.Bounds{LoadFactor: t.Bound, FleetMean: mean}
 }
 
 // Dispatch grants waiting tickets engines, in fair order, while there are free ones.
--- a/pkg/placement/bench_test.go
+++ b/pkg/placement/bench_test.go
@@ -37,7 +37,7 @@
 				r := requests[i%len(requests)]
 				r.PrefixShare = traffic.Seen(r.Prefix, now)
 				l.Choose(r, loads, 1.15, rnd)
-				PickEngine(states, i%len(states), Bounds{C: 1.15, FleetMean: 19})
+				PickEngine(states, i%len(states), Bounds{LoadFactor: 1.15, FleetMean: 19})
 				i++
 			}
 		})
--- a/pkg/placement/pick.go
+++ b/pkg/placement/pick.go
@@ -9,16 +9,16 @@
 	InFlight int
 	// Slots is the most requests the engine takes at a time; 0 means no limit.
 	Slots int
-	// Holds tells that the request's shared prefix was sent here lately.
-	Holds bool
+	// HasPrefix tells that the request's shared prefix was sent here lately.
+	HasPrefix bool
 	// Ineligible rules the engine out: leaving, suspect, wrong adapter.
 	Ineligible bool
 }
 
 // Bounds are the limits of one decision in an owner's group.
 type Bounds struct {
-	// C is the operator's bound, a multiple of the mean, at least 1.
-	C float64
+	// LoadFactor is the operator's bound, a multiple of the mean, at least 1.
+	LoadFactor float64
 	// FleetMean is the mean load of all engines of the pool, from digests.
 	FleetMean float64
 }
@@ -29,7 +29,7 @@
 // mean of 0.5 a bound of 1.25 would allow no second request.
 func (b Bounds) hard() float64 {
 	const idle = 2
-	return max(b.C*b.FleetMean, b.FleetMean+idle)
+	return max(b.LoadFactor*b.FleetMean, b.FleetMean+idle)
 }
 
 // PickEngine picks the engine for a request inside the owner's group and
@@ -42,7 +42,7 @@
 	limit := b.hard()
 	if token != None && engines[token].free(limit) {
 		mean := groupMean(engines)
-		if float64(engines[token].InFlight) < max(b.C*mean, mean+1) {
+		if float64(engines[token].InFlight) < max(b.LoadFactor*mean, mean+1) {
 			return token
 		}
 	}
@@ -96,7 +96,7 @@
 func weight(e EngineState) float64 {
 	const holdsPrefix = 1.5
 	w := float64(e.InFlight)
-	if e.Holds {
+	if e.HasPrefix {
 		w -= holdsPrefix
 	}
 	return w
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -157,7 +157,7 @@
 }
 
 func TestPickEngine(t *testing.T) {
-	b := Bounds{C: 1.25, FleetMean: 10}
+	b := Bounds{LoadFactor: 1.25, FleetMean: 10}
 	for _, c := range []struct {
 		name    string
 		engines []EngineState
@@ -167,8 +167,8 @@
 		{"least loaded", []EngineState{{InFlight: 5}, {InFlight: 3}}, None, 1},
 		{"token's engine", []EngineState{{InFlight: 10}, {InFlight: 9}}, 0, 0},
 		{"token's engine above the group", []EngineState{{InFlight: 12}, {InFlight: 2}}, 0, 1},
-		{"prefix holder among near ones", []EngineState{{InFlight: 4}, {InFlight: 5, Holds: true}}, None, 1},
-		{"prefix holder too far above", []EngineState{{InFlight: 4}, {InFlight: 7, Holds: true}}, None, 0},
+		{"prefix holder among near ones", []EngineState{{InFlight: 4}, {InFlight: 5, HasPrefix: true}}, None, 1},
+		{"prefix holder too far above", []EngineState{{InFlight: 4}, {InFlight: 7, HasPrefix: true}}, None, 0},
 		{"ineligible", []EngineState{{InFlight: 0, Ineligible: true}, {InFlight: 9}}, 0, 1},
 		{"slots", []EngineState{{InFlight: 2, Slots: 2}, {InFlight: 9}}, None, 1},
 		{"all at the hard bound", []EngineState{{InFlight: 13}, {InFlight: 14}}, 0, None},
