--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -73,7 +73,7 @@
 	board   *fleet.DigestTable
 	limits  *admission.Limits
 	retries *admission.RetryBudget
-	traffic *placement.Traffic
+	traffic *placement.PrefixTraffic
 	pools   map[poolName]*pool
 	engines map[uint64]*owner.Engine
 	// handover remembers the owners of engines through changes; gained are those
@@ -112,7 +112,7 @@
 		view:        fleet.NewView(),
 		limits:      admission.NewLimits(),
 		retries:     admission.NewRetryBudget(admission.DefaultRetryRatio, admission.DefaultRetryReserve),
-		traffic:     placement.NewTraffic(),
+		traffic:     placement.NewPrefixTraffic(),
 		pools:       make(map[poolName]*pool),
 		engines:     make(map[uint64]*owner.Engine),
 		handover:    owner.NewHandover(),
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -196,7 +196,7 @@
 	return placement.Request{
 		Chat:           job.Chat,
 		Prefix:         job.Prefix,
-		PrefixShare:    r.traffic.Seen(job.Prefix, steady.Now()),
+		PrefixShare:    r.traffic.Record(job.Prefix, steady.Now()),
 		Engine:         r.tokenEngine(p, job.Engine),
 		EligibleGroups: p.eligible(job.Adapter),
 	}
--- a/pkg/placement/bench_test.go
+++ b/pkg/placement/bench_test.go
@@ -21,7 +21,7 @@
 			for i := range states {
 				states[i].InFlight = 15 + i
 			}
-			traffic := NewTraffic()
+			traffic := NewPrefixTraffic()
 			rnd := rand.New(rand.NewPCG(1, 2))
 			now := time.Unix(1_800_000_000, 0)
 			requests := make([]Request, 1024)
@@ -35,7 +35,7 @@
 			i := 0
 			for b.Loop() {
 				r := requests[i%len(requests)]
-				r.PrefixShare = traffic.Seen(r.Prefix, now)
+				r.PrefixShare = traffic.Record(r.Prefix, now)
 				l.Choose(r, loads, 1.15, rnd)
 				PickEngine(states, i%len(states), Bounds{LoadFactor: 1.15, FleetMean: 19})
 				i++
--- a/pkg/placement/traffic.go
+++ b/pkg/placement/traffic.go
@@ -7,14 +7,14 @@
 	boom "github.com/tylertreat/BoomFilters"
 )
 
-// Traffic estimates each shared prefix's share of the requests seen here, in
+// PrefixTraffic estimates each shared prefix's share of the requests seen here, in
 // memory that does not grow with the number of prefixes: two count-min
 // sketches of 64 KB, one being filled and the last full one. It is not safe
 // for concurrent use.
 //
 // A sketch counts at least as much as is true and little more, so a prefix is
 // spread a little too wide, never too narrow.
-type Traffic struct {
+type PrefixTraffic struct {
 	window  time.Duration
 	began   time.Time
 	current *boom.CountMinSketch
@@ -29,18 +29,18 @@
 	trafficWindow = 30 * time.Second
 )
 
-// NewTraffic returns an estimator that has seen nothing.
-func NewTraffic() *Traffic {
-	return &Traffic{window: trafficWindow, current: newSketch(), last: newSketch()}
+// NewPrefixTraffic returns an estimator that has seen nothing.
+func NewPrefixTraffic() *PrefixTraffic {
+	return &PrefixTraffic{window: trafficWindow, current: newSketch(), last: newSketch()}
 }
 
 func newSketch() *boom.CountMinSketch {
 	return boom.NewCountMinSketch(sketchError, sketchConfidence)
 }
 
-// Seen counts a request with this prefix, 0 for none, and returns the prefix's
+// Record counts a request with this prefix, 0 for none, and returns the prefix's
 // share of the requests of the last window or two, 0 to 1.
-func (t *Traffic) Seen(prefix uint64, now time.Time) float64 {
+func (t *PrefixTraffic) Record(prefix uint64, now time.Time) float64 {
 	if now.Sub(t.began) > t.window {
 		t.last, t.current = t.current, t.last.Reset()
 		t.began = now
--- a/test/measure/croftyard.go
+++ b/test/measure/croftyard.go
@@ -45,7 +45,7 @@
 	policy  *croftyard
 	index   int
 	version int
-	traffic *placement.Traffic
+	traffic *placement.PrefixTraffic
 	engines map[uint64]*owner.Engine
 	owned   map[uint64]*owner.Group[*job]
 	loads   placement.Loads
@@ -62,7 +62,7 @@
 		c.hashes = append(c.hashes, placement.Hash(fmt.Sprintf("router-%d", i)))
 		c.routers = append(c.routers, &simRouter{
 			policy: c, index: i, version: -1,
-			traffic:  placement.NewTraffic(),
+			traffic:  placement.NewPrefixTraffic(),
 			engines:  make(map[uint64]*owner.Engine),
 			owned:    make(map[uint64]*owner.Group[*job]),
 			view:     fleet.NewView(),
@@ -292,7 +292,7 @@
 		if j.chat.engine != 0 {
 			engine = l.EngineIndex(j.chat.engine)
 		}
-		share := edge.traffic.Seen(j.chat.prefix, c.w.clock())
+		share := edge.traffic.Record(j.chat.prefix, c.w.clock())
 		choice = l.Choose(placement.Request{Chat: j.chat.id, Prefix: j.chat.prefix, PrefixShare: share, Engine: engine}, edge.loads, c.w.spec.bound, c.w.rnd)
 		if choice.Origin == placement.FromDiversion && c.w.now >= warmUp {
 			c.w.figures.diverted++
