--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -32,7 +32,7 @@
 	}
 	fmt.Fprintf(out, "%s: good; %d groups, %d services\n", c.File, len(snapshot.Groups), len(snapshot.Services))
 	for _, s := range segments {
-		if g := snapshot.Groups[s.Name.Own]; s.Name.Kind == policy.KindGroup && g.Template != "" {
+		if g := snapshot.Groups[s.ID.Name]; s.ID.Kind == policy.KindGroup && g.Template != "" {
 			fmt.Fprintf(out, "  group %s = template %s with %s of its own\n", g.Name, g.Template, ownValues(g))
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 	changed := 0
 	for _, s := range segments {
-		was := head.Hash(s.Name.Kind, s.Name.Own)
+		was := head.Hash(s.ID.Kind, s.ID.Name)
 		if was == s.Hash {
 			continue
 		}
@@ -138,7 +138,7 @@
 	proposal := policy.Proposal{ID: c.ID, Note: c.Note, Put: segments}
 	for _, name := range c.Delete {
 		kind, own, _ := strings.Cut(name, " ")
-		proposal.Delete = append(proposal.Delete, policy.Name{Kind: policy.Kind(kind), Own: own})
+		proposal.Delete = append(proposal.Delete, policy.SegmentID{Kind: policy.Kind(kind), Name: own})
 	}
 	client, ctx, cancel := c.open()
 	defer cancel()
@@ -214,7 +214,7 @@
 		for _, e := range head.Edits {
 			var names []string
 			for _, change := range e.Changes {
-				names = append(names, policy.Name{Kind: change.Kind, Own: change.Name}.String())
+				names = append(names, policy.SegmentID{Kind: change.Kind, Name: change.Name}.String())
 			}
 			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.Version, e.At.Format(time.RFC3339), e.Author, strings.Join(names, ", "), e.Note)
 		}
--- a/pkg/policy/edit.go
+++ b/pkg/policy/edit.go
@@ -32,12 +32,12 @@
 	Base uint64
 	// Put are the segments to set, Delete the names to remove.
 	Put    []Segment
-	Delete []Name
+	Delete []SegmentID
 }
 
 // Conflict tells which segment two edits both changed.
 type Conflict struct {
-	Name Name
+	Segment SegmentID
 	// Base is the segment's hash at the proposal's base, Current the one in force.
 	Base    Hash
 	Current Hash
@@ -47,7 +47,7 @@
 
 // Error implements error.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("%v: [%s] was changed since the base version, in force is version %d", ErrConflict, c.Name, c.Version)
+	return fmt.Sprintf("%v: [%s] was changed since the base version, in force is version %d", ErrConflict, c.Segment, c.Version)
 }
 
 // Unwrap lets errors.Is find ErrConflict.
@@ -123,16 +123,16 @@
 	}
 	edit := Edit{ID: p.ID, Author: p.Author, Note: p.Note, At: p.At.UTC()}
 	for _, s := range p.Put {
-		edit.Changes = append(edit.Changes, Change{Kind: s.Name.Kind, Name: s.Name.Own, After: s.Hash})
+		edit.Changes = append(edit.Changes, Change{Kind: s.ID.Kind, Name: s.ID.Name, After: s.Hash})
 	}
 	for _, n := range p.Delete {
-		edit.Changes = append(edit.Changes, Change{Kind: n.Kind, Name: n.Own})
+		edit.Changes = append(edit.Changes, Change{Kind: n.Kind, Name: n.Name})
 	}
 	atBase := Head{Segments: base}
 	for i, c := range edit.Changes {
 		was, is := atBase.Hash(c.Kind, c.Name), head.Hash(c.Kind, c.Name)
 		if was != is {
-			return Head{}, &Conflict{Name: Name{Kind: c.Kind, Own: c.Name}, Base: was, Current: is, Version: head.Version}
+			return Head{}, &Conflict{Segment: SegmentID{Kind: c.Kind, Name: c.Name}, Base: was, Current: is, Version: head.Version}
 		}
 		edit.Changes[i].Before = is
 	}
@@ -146,7 +146,7 @@
 }
 
 // Rollback proposes the content of an earlier version as a new one.
-func Rollback(head Head, version uint64) (put []Entry, remove []Name, err error) {
+func Rollback(head Head, version uint64) (put []Entry, remove []SegmentID, err error) {
 	old, err := head.At(version)
 	if err != nil {
 		return nil, nil, err
@@ -159,7 +159,7 @@
 	past := Head{Segments: old}
 	for _, e := range head.Segments {
 		if past.Hash(e.Kind, e.Name) == "" {
-			remove = append(remove, Name{Kind: e.Kind, Own: e.Name})
+			remove = append(remove, SegmentID{Kind: e.Kind, Name: e.Name})
 		}
 	}
 	return put, remove, nil
@@ -178,7 +178,7 @@
 		}
 	}
 	// The head was not touched: nothing is in force, whatever became of this.
-	return fmt.Errorf("%w: storing [%s]: %v", ErrUnavailable, s.Name, err)
+	return fmt.Errorf("%w: storing [%s]: %v", ErrUnavailable, s.ID, err)
 }
 
 // readSettled reads a key, repeating reads whose answer was lost.
--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -42,18 +42,18 @@
 	KindService  Kind = "service"
 )
 
-// Name identifies a segment: its kind and, but for the fleet, its own name.
-type Name struct {
+// SegmentID identifies a segment: its kind and, but for the fleet, its own name.
+type SegmentID struct {
 	Kind Kind
-	Own  string
+	Name string
 }
 
 // String returns the name as it stands in an INI section header.
-func (n Name) String() string {
-	if n.Own == "" {
+func (n SegmentID) String() string {
+	if n.Name == "" {
 		return string(n.Kind)
 	}
-	return string(n.Kind) + " " + n.Own
+	return string(n.Kind) + " " + n.Name
 }
 
 // Fleet holds the parameters that all routers share.
@@ -156,6 +156,6 @@
 	return s.byKey[h]
 }
 
-func invalid(name Name, key, value, allowed string) error {
+func invalid(name SegmentID, key, value, allowed string) error {
 	return fmt.Errorf("%w: [%s] %s = %q: %s", ErrInvalid, name, key, value, allowed)
 }
--- a/pkg/policy/policy_test.go
+++ b/pkg/policy/policy_test.go
@@ -138,10 +138,10 @@
 	require.ErrorIs(t, err, ErrConflict)
 	var conflict *Conflict
 	require.ErrorAs(t, err, &conflict)
-	assert.Equal(t, Name{KindTemplate, "solicitor"}, conflict.Name)
+	assert.Equal(t, SegmentID{KindTemplate, "solicitor"}, conflict.Segment)
 	assert.EqualValues(t, 3, conflict.Version)
 	expect(t, 3)(Apply(ctx, store, proposal(t, "e2", 1, "[service lookup]\nrepeatable = no\n")))
-	_, err = Apply(ctx, store, Proposal{ID: "e5", Base: 3, Delete: []Name{{KindTemplate, "solicitor"}}})
+	_, err = Apply(ctx, store, Proposal{ID: "e5", Base: 3, Delete: []SegmentID{{KindTemplate, "solicitor"}}})
 	assert.ErrorContains(t, err, "no such template", "an edit that breaks the whole is refused")
 }
 
@@ -152,7 +152,7 @@
 	put, remove, err := Rollback(second, 1)
 	require.NoError(t, err)
 	assert.Equal(t, []Entry{{KindService, "lookup", first.Hash(KindService, "lookup")}}, put)
-	assert.Equal(t, []Name{{KindService, "new"}}, remove)
+	assert.Equal(t, []SegmentID{{KindService, "new"}}, remove)
 	_, err = second.At(3)
 	assert.ErrorIs(t, err, ErrVersion)
 }
--- a/pkg/policy/resolve.go
+++ b/pkg/policy/resolve.go
@@ -33,7 +33,7 @@
 	// Templates come first, whatever the order of the segments.
 	for _, kind := range []Kind{KindFleet, KindTemplate, KindGroup, KindService} {
 		for _, s := range segments {
-			if s.Name.Kind == kind {
+			if s.ID.Kind == kind {
 				r.add(s)
 			}
 		}
@@ -53,11 +53,11 @@
 func (r *resolver) add(s Segment) {
 	parsed, err := load(s.Text)
 	if err != nil {
-		r.problems = append(r.problems, fmt.Errorf("%w: [%s]: %v", ErrInvalid, s.Name, err))
+		r.problems = append(r.problems, fmt.Errorf("%w: [%s]: %v", ErrInvalid, s.ID, err))
 		return
 	}
-	f := &fields{name: s.Name, section: parsed.Section(s.Name.String())}
-	switch s.Name.Kind {
+	f := &fields{name: s.ID, section: parsed.Section(s.ID.String())}
+	switch s.ID.Kind {
 	case KindFleet:
 		r.addFleet(f)
 	case KindTemplate:
@@ -84,11 +84,11 @@
 func (r *resolver) addTemplate(f *fields) {
 	p := Defaults()
 	readParameters(f, &p)
-	r.templates[f.name.Own] = p
+	r.templates[f.name.Name] = p
 }
 
 func (r *resolver) addGroup(f *fields) {
-	g := &Group{Name: f.name.Own, Parameters: Defaults()}
+	g := &Group{Name: f.name.Name, Parameters: Defaults()}
 	f.text("template", &g.Template)
 	if g.Template != "" {
 		template, found := r.templates[g.Template]
@@ -125,7 +125,7 @@
 }
 
 func (r *resolver) addService(f *fields) {
-	s := &Service{Name: f.name.Own, Timeout: defaultDeadline}
+	s := &Service{Name: f.name.Name, Timeout: defaultDeadline}
 	f.boolean("repeatable", &s.Repeatable)
 	f.duration("timeout", &s.Timeout)
 	r.snapshot.Services[s.Name] = s
@@ -171,7 +171,7 @@
 
 // fields reads the keys of one section and collects what is wrong with them.
 type fields struct {
-	name     Name
+	name     SegmentID
 	section  *ini.Section
 	read     []string
 	problems []error
--- a/pkg/policy/segment.go
+++ b/pkg/policy/segment.go
@@ -19,7 +19,7 @@
 // Segment is one INI section in canonical form: keys sorted, one blank around
 // the equals sign, no comments. Equal content has an equal hash.
 type Segment struct {
-	Name Name
+	ID   SegmentID
 	Text []byte
 	Hash Hash
 }
@@ -94,12 +94,12 @@
 	if len(problems) == 0 && !sameWhenRead(name, text, section) {
 		problems = append(problems, fmt.Errorf("%w: section [%s]: a key or value holds quotes, # or ; that INI cannot keep", ErrInvalid, name))
 	}
-	return Segment{Name: name, Text: text, Hash: hashText(text)}, errors.Join(problems...)
+	return Segment{ID: name, Text: text, Hash: hashText(text)}, errors.Join(problems...)
 }
 
 // sameWhenRead tells whether the canonical text reads back as the section it
 // was made from. INI has no escapes, so some values do not.
-func sameWhenRead(name Name, text []byte, section *ini.Section) bool {
+func sameWhenRead(name SegmentID, text []byte, section *ini.Section) bool {
 	parsed, err := load(text)
 	if err != nil || len(parsed.Sections()) != len([]string{ini.DefaultSection, name.String()}) {
 		return false
@@ -116,16 +116,16 @@
 	return true
 }
 
-func parseName(section string) (Name, error) {
+func parseName(section string) (SegmentID, error) {
 	kind, own, _ := strings.Cut(section, " ")
-	name := Name{Kind: Kind(kind), Own: strings.TrimSpace(own)}
+	name := SegmentID{Kind: Kind(kind), Name: strings.TrimSpace(own)}
 	switch name.Kind {
 	case KindFleet:
-		if name.Own != "" {
+		if name.Name != "" {
 			return name, fmt.Errorf("%w: section [%s]: fleet takes no name", ErrInvalid, section)
 		}
 	case KindTemplate, KindGroup, KindService:
-		if !nameAllowed(name.Own) {
+		if !nameAllowed(name.Name) {
 			return name, fmt.Errorf("%w: section [%s]: a name of 1 to 64 of a-z, 0-9, . _ - must follow %s", ErrInvalid, section, kind)
 		}
 	default:
