--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -225,7 +225,7 @@
 	for hash, segment := range c.cache {
 		c.texts[hash] = segment.Text
 	}
-	if c.router.adopted.Offer(snapshot) {
+	if c.router.adopted.AdoptIfNewer(snapshot) {
 		c.router.metrics.ConfigVersion.Update(int64(snapshot.Version))
 		c.router.log.Write(event.ConfigAdopted, event.F("version", snapshot.Version))
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -57,7 +57,7 @@
 	meter    *peer.Meter
 	server   *peer.Server
 	targets  *dispatch.Dispatcher
-	adopted  policy.Adopted
+	adopted  policy.ActiveSnapshot
 	config   *config
 	list     *list
 	selfHash uint64
--- a/pkg/policy/example_test.go
+++ b/pkg/policy/example_test.go
@@ -28,8 +28,8 @@
 		fmt.Println(err)
 		return
 	}
-	var adopted policy.Adopted
-	fmt.Println(adopted.Offer(snapshot), adopted.Current().Groups["agents"].Share)
+	var adopted policy.ActiveSnapshot
+	fmt.Println(adopted.AdoptIfNewer(snapshot), adopted.Current().Groups["agents"].Share)
 	// Output:
 	// true 3
 }
--- a/pkg/policy/load.go
+++ b/pkg/policy/load.go
@@ -70,19 +70,19 @@
 	return fill(head, segments, cache)
 }
 
-// Adopted is the snapshot in force in one process. It only moves forward.
-type Adopted struct {
+// ActiveSnapshot is the snapshot in force in one process. It only moves forward.
+type ActiveSnapshot struct {
 	current atomic.Pointer[Snapshot]
 }
 
 // Current returns the snapshot in force, or nil before the first.
-func (a *Adopted) Current() *Snapshot {
+func (a *ActiveSnapshot) Current() *Snapshot {
 	return a.current.Load()
 }
 
-// Offer adopts s if its version is larger than the one in force and tells
+// AdoptIfNewer adopts s if its version is larger than the one in force and tells
 // whether it did.
-func (a *Adopted) Offer(s *Snapshot) bool {
+func (a *ActiveSnapshot) AdoptIfNewer(s *Snapshot) bool {
 	for {
 		old := a.current.Load()
 		if old != nil && s.Version <= old.Version {
--- a/pkg/policy/policy_test.go
+++ b/pkg/policy/policy_test.go
@@ -185,11 +185,11 @@
 }
 
 func TestAdoptedNeverGoesBack(t *testing.T) {
-	var a Adopted
+	var a ActiveSnapshot
 	assert.Nil(t, a.Current())
-	assert.True(t, a.Offer(&Snapshot{Version: 2}))
-	assert.False(t, a.Offer(&Snapshot{Version: 1}))
-	assert.False(t, a.Offer(&Snapshot{Version: 2}))
+	assert.True(t, a.AdoptIfNewer(&Snapshot{Version: 2}))
+	assert.False(t, a.AdoptIfNewer(&Snapshot{Version: 1}))
+	assert.False(t, a.AdoptIfNewer(&Snapshot{Version: 2}))
 	assert.EqualValues(t, 2, a.Current().Version)
 }
 
