--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -211,7 +211,7 @@
 	if head.Version <= c.head.Version {
 		return nil
 	}
-	snapshot, err := policy.Load(ctx, c.router.platform, head, c.cache)
+	snapshot, err := policy.LoadSnapshot(ctx, c.router.platform, head, c.cache)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
@@ -260,7 +260,7 @@
 	if head.Version <= c.head.Version {
 		return nil
 	}
-	snapshot, err := policy.Assemble(head, texts, c.cache)
+	snapshot, err := policy.AssembleSnapshot(head, texts, c.cache)
 	if err != nil {
 		return fmt.Errorf("router: peer's configuration: %w", err)
 	}
--- a/pkg/policy/edit.go
+++ b/pkg/policy/edit.go
@@ -141,7 +141,7 @@
 	if len(next.Encode()) > kv.MaxValue {
 		return Head{}, fmt.Errorf("%w: the head would exceed %d bytes", ErrInvalid, kv.MaxValue)
 	}
-	_, err = Load(ctx, store, next, nil)
+	_, err = LoadSnapshot(ctx, store, next, nil)
 	return next, err
 }
 
--- a/pkg/policy/example_test.go
+++ b/pkg/policy/example_test.go
@@ -23,7 +23,7 @@
 		fmt.Println(err)
 		return
 	}
-	snapshot, err := policy.Load(ctx, store, head, nil)
+	snapshot, err := policy.LoadSnapshot(ctx, store, head, nil)
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/pkg/policy/load.go
+++ b/pkg/policy/load.go
@@ -11,10 +11,10 @@
 // Cache holds segments by hash, so that a change fetches only what changed.
 type Cache map[Hash]Segment
 
-// Load fetches the head's segments that are not in cache (which may be nil),
+// LoadSnapshot fetches the head's segments that are not in cache (which may be nil),
 // checks them as a whole and returns the snapshot. The cache then holds just
 // the head's segments.
-func Load(ctx context.Context, store kv.Store, head Head, cache Cache) (*Snapshot, error) {
+func LoadSnapshot(ctx context.Context, store kv.Store, head Head, cache Cache) (*Snapshot, error) {
 	segments := make([]Segment, 0, len(head.Segments))
 	for _, e := range head.Segments {
 		if s, found := cache[e.Hash]; found {
@@ -48,9 +48,9 @@
 	return snapshot, nil
 }
 
-// Assemble builds a snapshot from a head and texts that came from a peer. Every
+// AssembleSnapshot builds a snapshot from a head and texts that came from a peer. Every
 // text is checked against its hash, so a peer can delay but not falsify.
-func Assemble(head Head, texts map[Hash][]byte, cache Cache) (*Snapshot, error) {
+func AssembleSnapshot(head Head, texts map[Hash][]byte, cache Cache) (*Snapshot, error) {
 	segments := make([]Segment, 0, len(head.Segments))
 	for _, e := range head.Segments {
 		if s, found := cache[e.Hash]; found {
