--- a/internal/front/admit_test.go
+++ b/internal/front/admit_test.go
@@ -87,7 +87,7 @@
 			newer.Routes[i].Shares = []route.Share{{Service: "s", Weight: 1}}
 		}
 		table, _ := route.Compile(newer)
-		r.holder.Offer(table, time.Now())
+		r.holder.Update(table, time.Now())
 		writer.Close()
 	}()
 	request, err := http.NewRequest("POST", r.server.URL+"/once/", reader)
--- a/internal/front/connlimits_test.go
+++ b/internal/front/connlimits_test.go
@@ -37,7 +37,7 @@
 	table, err := route.Compile(route.Config{Version: 1, Limits: route.Limits{Idle: idle, HeaderTime: header}})
 	require.NoError(t, err)
 	holder := freshness.NewHolder()
-	holder.Offer(table, time.Now())
+	holder.Update(table, time.Now())
 	return NewConnLimits(holder, event.Discard())
 }
 
@@ -83,7 +83,7 @@
 		limits.ConnState(conn, http.StateNew)
 		longer, err := route.Compile(route.Config{Version: 2, Limits: route.Limits{Idle: 20 * time.Second, HeaderTime: time.Second}})
 		require.NoError(t, err)
-		limits.holder.Offer(longer, time.Now())
+		limits.holder.Update(longer, time.Now())
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
 		assert.Zero(t, conn.closed.Load())
--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -82,13 +82,13 @@
 	}
 	held := w.holder.Current()
 	if held.Table != nil && s.Config.Version == held.Table.Version() {
-		w.holder.Prove(s.Config.Version, sent)
+		w.holder.ConfirmVersion(s.Config.Version, sent)
 		return
 	}
 	if w.life.rewound && held.Table != nil && s.Config.Version < held.Table.Version() {
 		// The operator has not written again what the copy lacks. Nothing newer is there,
 		// and what is held is never taken back.
-		w.holder.Prove(held.Table.Version(), sent)
+		w.holder.ConfirmVersion(held.Table.Version(), sent)
 		return
 	}
 	table, err := route.Compile(*s.Config)
@@ -96,7 +96,7 @@
 		w.log.Write(event.ConfigRejected, event.F("error", err), event.F("version", s.Config.Version))
 		return
 	}
-	if w.holder.Offer(table, sent) {
+	if w.holder.Update(table, sent) {
 		w.notifyUpdate()
 		w.log.Write(event.ConfigAdopted, event.F("version", table.Version()), event.F("routes", len(s.Config.Routes)))
 	}
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -104,7 +104,7 @@
 	// A list that was read alone may be newer than the proof; the configuration is
 	// proven all the same.
 	w.handleChanges(w.directory.Confirm(proven))
-	if w.holder.Prove(d.Version, proven) {
+	if w.holder.ConfirmVersion(d.Version, proven) {
 		w.notifyRead()
 	}
 	return false
@@ -134,7 +134,7 @@
 		// The list has changed here since it was asked for: this confirms neither.
 		return
 	}
-	w.holder.Prove(k.Version, proven)
+	w.holder.ConfirmVersion(k.Version, proven)
 	w.notifyRead()
 }
 
@@ -144,7 +144,7 @@
 		w.log.Write(event.ConfigRejected, event.F("error", err), event.F("version", c.Version), event.F("peer", from))
 		return
 	}
-	if w.holder.Offer(table, proven) {
+	if w.holder.Update(table, proven) {
 		w.notifyUpdate()
 		w.log.Write(event.ConfigFromPeer, event.F("version", c.Version), event.F("peer", from))
 	}
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -205,7 +205,7 @@
 	f := newWatcher(&fakeSource{}, 0)
 	now := time.Now()
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas("a")}, now)
-	f.holder.Prove(4, now.Add(time.Second))
+	f.holder.ConfirmVersion(4, now.Add(time.Second))
 	assert.Equal(t, time.Second, f.Staleness(now.Add(2*time.Second)))
 	assert.Equal(t, 2*time.Second, f.Age(now.Add(2*time.Second)))
 	f.ApplySnapshot(Snapshot{ConfigErr: errors.New("no JSON"), Replicas: replicas("a")}, now.Add(3*time.Second))
--- a/pkg/freshness/freshness.go
+++ b/pkg/freshness/freshness.go
@@ -49,10 +49,10 @@
 // Current returns the newest state.
 func (h *Holder) Current() *State { return h.state.Load() }
 
-// Offer takes a table with its proof and tells whether the table is newer than
+// Update takes a table with its proof and tells whether the table is newer than
 // the one held. An older version changes nothing: what it proves is that its
 // sender was behind.
-func (h *Holder) Offer(table *route.Table, proven time.Time) bool {
+func (h *Holder) Update(table *route.Table, proven time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old := h.state.Load()
@@ -93,8 +93,8 @@
 	return sent.Before(h.doubted)
 }
 
-// Prove notes that the version held was still the newest at a time.
-func (h *Holder) Prove(version uint64, proven time.Time) bool {
+// ConfirmVersion notes that the version held was still the newest at a time.
+func (h *Holder) ConfirmVersion(version uint64, proven time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old := h.state.Load()
