--- a/internal/watch/generation.go
+++ b/internal/watch/generation.go
@@ -118,7 +118,7 @@
 // have written again, while a hold lasts. w.mu is held.
 func (w *Watcher) distrustProofs(now time.Time, hold time.Duration) {
 	w.life.rewound = true
-	w.holder.Doubt(now.Add(hold - w.directory.HoldPeriod() + w.directory.GracePeriod()))
+	w.holder.DistrustReadsBefore(now.Add(hold - w.directory.HoldPeriod() + w.directory.GracePeriod()))
 }
 
 // takesFacts reports whether another router's facts against the copy are applied: those of
--- a/internal/watch/generation_test.go
+++ b/internal/watch/generation_test.go
@@ -144,7 +144,7 @@
 				assert.Equal(t, ready, f.Ready(id), id)
 			}
 			assert.Equal(t, fresh.Digest(), f.Digest(), "all hold the same, and ask no more")
-			assert.True(t, f.holder.Doubted(time.Now()))
+			assert.True(t, f.holder.DistrustsRead(time.Now()))
 		}
 		// The operator and the replicas write again, and the fourth reads on.
 		time.Sleep(1900 * time.Millisecond)
@@ -180,13 +180,13 @@
 		reads := newWatcher(&fakeSource{}, 2)
 		require.NoError(t, reads.ApplySnapshot(listOf(1, 4, draining(list, 0)), time.Now()))
 		require.NoError(t, reads.ApplySnapshot(listOf(2, 4, list), time.Now()), "it reads for itself before it hears others")
-		assert.True(t, reads.holder.Doubted(time.Now()))
+		assert.True(t, reads.holder.DistrustsRead(time.Now()))
 		for range 2 {
 			exchange(t, f, cut, reads)
 		}
 		for _, r := range []*Watcher{f, cut} {
 			assert.True(t, r.Ready("a"))
-			assert.False(t, r.holder.Doubted(time.Now()))
+			assert.False(t, r.holder.DistrustsRead(time.Now()))
 		}
 		assert.EqualValues(t, 2, cut.Digest().Generation)
 		assert.Zero(t, cut.log.Count(event.SourceRewound), "others say that all has been written again")
--- a/pkg/freshness/freshness.go
+++ b/pkg/freshness/freshness.go
@@ -78,16 +78,16 @@
 	return s
 }
 
-// Doubt has reads prove nothing that are sent before a time: what was accepted may be
+// DistrustReadsBefore has reads prove nothing that are sent before a time: what was accepted may be
 // lost, and is written again until then.
-func (h *Holder) Doubt(until time.Time) {
+func (h *Holder) DistrustReadsBefore(until time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.doubted = later(h.doubted, until)
 }
 
-// Doubted tells whether a read that is sent at a time would prove nothing.
-func (h *Holder) Doubted(sent time.Time) bool {
+// DistrustsRead tells whether a read that is sent at a time would prove nothing.
+func (h *Holder) DistrustsRead(sent time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return sent.Before(h.doubted)
