--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -46,7 +46,7 @@
 				table := r.holder.Current().Table
 				return r.balancer.ReadyCount("s") == len(list) && table != nil && table.Version() == version
 			})
-			assert.False(t, r.holder.Current().Proven.After(read), "a proof gains nothing on its way")
+			assert.False(t, r.holder.Current().ProvenAt.After(read), "a proof gains nothing on its way")
 			assert.Zero(t, r.source.reads)
 		}
 	}
@@ -95,16 +95,16 @@
 	now, proofMs := time.Now(), uint32(0)
 	told := &gossippb.Digest{Sender: "127.0.0.1:9", DataCentre: "there", Version: version, Mark: mark, ProofMs: &proofMs}
 	r.gossip.takeTold(told, now)
-	assert.Equal(t, read, r.holder.Current().Proven)
+	assert.Equal(t, read, r.holder.Current().ProvenAt)
 	require.Len(t, r.gossip.questions, 1, "it asks")
 	asked := now.Add(-50 * time.Millisecond)
 	for number := range r.gossip.questions {
 		r.gossip.takeAnswer(&gossippb.Freshness{Ask: number + 1, Version: version, Mark: mark, ProofMs: &proofMs}, now)
-		assert.Equal(t, read, r.holder.Current().Proven, "an answer to nothing")
+		assert.Equal(t, read, r.holder.Current().ProvenAt, "an answer to nothing")
 		r.gossip.questions[number] = question{address: told.Sender, at: asked}
 		r.gossip.takeAnswer(&gossippb.Freshness{Ask: number, Version: version, Mark: mark, ProofMs: &proofMs}, now)
 	}
-	assert.Equal(t, asked, r.holder.Current().Proven, "from when it was asked")
+	assert.Equal(t, asked, r.holder.Current().ProvenAt, "from when it was asked")
 	assert.Empty(t, r.gossip.questions)
 }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -151,7 +151,7 @@
 		until(t, r.watcher.Initialized)
 		assert.EqualValues(t, 4, r.holder.Current().Table.Version())
 		until(t, func() bool { return r.balancer.ReadyCount("s") == 2 })
-		assert.False(t, r.holder.Current().Proven.After(read), "a proof gains nothing on its way")
+		assert.False(t, r.holder.Current().ProvenAt.After(read), "a proof gains nothing on its way")
 		assert.Zero(t, r.source.reads)
 	}
 	until(t, func() bool { return first.gossip.MemberCount() == 3 && third.gossip.MemberCount() == 3 })
@@ -159,7 +159,7 @@
 	later := time.Now()
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(5), Replicas: replicas("b")}, later)
 	until(t, func() bool { return third.holder.Current().Table.Version() == 5 && third.balancer.ReadyCount("s") == 1 })
-	assert.False(t, third.holder.Current().Proven.After(later))
+	assert.False(t, third.holder.Current().ProvenAt.After(later))
 }
 
 func TestAnEvacuationReachesRoutersThatTheSourceTurnsAway(t *testing.T) {
@@ -294,7 +294,7 @@
 	require.Error(t, second.watcher.RefreshList(t.Context(), time.Now()))
 	second.gossip.exchange(t.Context(), slowWay(t, first.gossip.Address()), &gossippb.Digest{Sender: second.gossip.Address()})
 	// At this moment the proof is just young enough; counted from the asking it is not.
-	now := first.holder.Current().Proven.Add(limit - 2*time.Millisecond)
+	now := first.holder.Current().ProvenAt.Add(limit - 2*time.Millisecond)
 	assert.False(t, second.watcher.StoreUnavailable(limit, now), "another router was answered within the limit")
 }
 
--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -37,7 +37,7 @@
 
 // notifyRead wakes the waiters for a read. w.mu is held.
 func (w *Watcher) notifyRead() {
-	w.turns.ObserveSuccess(w.holder.Current().Seen)
+	w.turns.ObserveSuccess(w.holder.Current().LastReadAt)
 	close(w.read)
 	w.read = make(chan struct{})
 }
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -71,7 +71,7 @@
 	case !w.isMark(d.ListHash):
 		return proven.After(w.directory.ReadTime())
 	}
-	own := held.Seen
+	own := held.LastReadAt
 	if read := w.directory.ReadTime(); read.Before(own) {
 		own = read
 	}
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -60,7 +60,7 @@
 	learner.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas(manyIDs(99)...)}, now.Add(500*time.Millisecond))
 	learner.ApplyKnowledge(k, now.Add(time.Second), now.Add(time.Second), "peer")
 	assert.Len(t, learner.Replicas(), 99)
-	assert.Equal(t, now.Add(500*time.Millisecond), learner.holder.Current().Proven, "it proves nothing")
+	assert.Equal(t, now.Add(500*time.Millisecond), learner.holder.Current().ProvenAt, "it proves nothing")
 }
 
 // Sums of 32 bits may be alike by chance. The mark then tells that something is wrong.
--- a/internal/watch/read.go
+++ b/internal/watch/read.go
@@ -106,13 +106,13 @@
 // when ctx ends, or at once if a read would prove nothing now.
 func (w *Watcher) WaitFresh(ctx context.Context, since time.Time) error {
 	for {
-		if w.holder.DistrustsRead(steady.Now()) && w.holder.Current().Proven.Before(since) {
+		if w.holder.DistrustsRead(steady.Now()) && w.holder.Current().ProvenAt.Before(since) {
 			return ErrUnproven
 		}
 		w.mu.Lock()
 		read := w.read
 		w.mu.Unlock()
-		if !w.holder.Current().Proven.Before(since) {
+		if !w.holder.Current().ProvenAt.Before(since) {
 			return nil
 		}
 		w.TriggerRead()
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -159,7 +159,7 @@
 // age is Age with w.mu held. What a copy does not prove is passed on all the same; its
 // receivers distrust it for as long.
 func (w *Watcher) age(now time.Time) time.Duration {
-	return max(now.Sub(w.holder.Current().Seen), now.Sub(w.directory.ReadTime()))
+	return max(now.Sub(w.holder.Current().LastReadAt), now.Sub(w.directory.ReadTime()))
 }
 
 // Initialized tells whether a configuration and a list of replicas were ever read.
--- a/pkg/freshness/freshness.go
+++ b/pkg/freshness/freshness.go
@@ -22,14 +22,14 @@
 type State struct {
 	// Table is nil before the first configuration.
 	Table *route.Table
-	// Proven is the steady time at which Table was the newest.
-	Proven time.Time
-	// Seen is when a read was sent last that found nothing newer, which may prove nothing.
-	Seen time.Time
+	// ProvenAt is the steady time at which Table was the newest.
+	ProvenAt time.Time
+	// LastReadAt is when a read was sent last that found nothing newer, which may prove nothing.
+	LastReadAt time.Time
 }
 
 // Age returns how old the proof is.
-func (s *State) Age(now time.Time) time.Duration { return now.Sub(s.Proven) }
+func (s *State) Age(now time.Time) time.Duration { return now.Sub(s.ProvenAt) }
 
 // Holder holds the newest state. It is safe for concurrent use.
 type Holder struct {
@@ -71,9 +71,9 @@
 // after returns the state after a read that was sent at a time and found a table. h.mu is
 // held.
 func (h *Holder) after(old *State, table *route.Table, sent time.Time) *State {
-	s := &State{Table: table, Proven: old.Proven, Seen: later(old.Seen, sent)}
+	s := &State{Table: table, ProvenAt: old.ProvenAt, LastReadAt: later(old.LastReadAt, sent)}
 	if !sent.Before(h.doubted) {
-		s.Proven = later(old.Proven, sent)
+		s.ProvenAt = later(old.ProvenAt, sent)
 	}
 	return s
 }
--- a/pkg/freshness/freshness_test.go
+++ b/pkg/freshness/freshness_test.go
@@ -24,9 +24,9 @@
 	assert.True(t, h.Update(table(t, 5), start))
 	assert.False(t, h.Update(table(t, 3), start.Add(time.Second)), "an answer that crossed a newer one")
 	assert.EqualValues(t, 5, h.Current().Table.Version())
-	assert.Equal(t, start, h.Current().Proven, "an older version proves nothing of this one")
+	assert.Equal(t, start, h.Current().ProvenAt, "an older version proves nothing of this one")
 	assert.True(t, h.Update(table(t, 9), start.Add(-time.Second)))
-	assert.Equal(t, start, h.Current().Proven, "what was proven before holds for what is newer")
+	assert.Equal(t, start, h.Current().ProvenAt, "what was proven before holds for what is newer")
 }
 
 func TestProofs(t *testing.T) {
@@ -38,7 +38,7 @@
 	assert.False(t, h.ConfirmVersion(6, start.Add(time.Hour)), "a version that is not held can't be proven")
 	assert.True(t, h.ConfirmVersion(5, start.Add(time.Second)))
 	assert.True(t, h.ConfirmVersion(5, start))
-	assert.Equal(t, start.Add(time.Second), h.Current().Proven, "a proof that comes late takes nothing back")
+	assert.Equal(t, start.Add(time.Second), h.Current().ProvenAt, "a proof that comes late takes nothing back")
 	assert.False(t, h.Update(table(t, 5), start.Add(2*time.Second)))
 	assert.Equal(t, 3*time.Second, h.Current().Age(start.Add(5*time.Second)))
 }
