--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -151,9 +151,9 @@
 
 func (e *Edge) allowed(group *policy.Group, chat *chatRequest, adapter string) *problem {
 	switch {
-	case !group.MayUse(chat.Model):
+	case !group.AllowsModel(chat.Model):
 		return forbidden(fmt.Sprintf("group %s may not use model %q", group.Name, chat.Model))
-	case !group.MayAdapt(adapter):
+	case !group.AllowsAdapter(adapter):
 		return forbidden(fmt.Sprintf("group %s may not use adapter %q", group.Name, adapter))
 	case chat.outputTokens() > group.MaxOutputTokens:
 		return badRequest(fmt.Sprintf("max_tokens must not exceed %d for group %s", group.MaxOutputTokens, group.Name))
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -118,7 +118,7 @@
 	}
 	list := modelList{Object: "list"}
 	for _, name := range e.router.Models() {
-		if group.MayUse(name) {
+		if group.AllowsModel(name) {
 			list.Data = append(list.Data, model{ID: name, Object: "model", OwnedBy: "croftyard"})
 		}
 	}
--- a/internal/router/explain.go
+++ b/internal/router/explain.go
@@ -55,7 +55,7 @@
 	}
 	group := snapshot.Groups[q.Group]
 	e := Explanation{Group: q.Group, Model: q.Model, Router: r.settings.Name, Bound: group.Bound, Token: "none"}
-	if !group.MayUse(q.Model) {
+	if !group.AllowsModel(q.Model) {
 		e.Refusal = fmt.Sprintf("group %s may not use %s", q.Group, q.Model)
 		return e, nil
 	}
--- a/internal/router/orders.go
+++ b/internal/router/orders.go
@@ -133,11 +133,11 @@
 func wantedAdapters(s *policy.Snapshot, model string) []string {
 	var named []string
 	for _, g := range s.Groups {
-		if g.MayUse(model) {
+		if g.AllowsModel(model) {
 			named = append(named, g.Adapters...)
 		}
 	}
-	return orders.Adapters(named, policy.All)
+	return orders.Adapters(named, policy.Wildcard)
 }
 
 // missingLoads returns the loads that an adapter lacks in a pool.
--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -119,22 +119,22 @@
 	Timeout time.Duration
 }
 
-// MayUse tells whether the group may use the model.
-func (p Parameters) MayUse(model string) bool {
+// AllowsModel tells whether the group may use the model.
+func (p Parameters) AllowsModel(model string) bool {
 	return contains(p.Models, model)
 }
 
-// MayAdapt tells whether the group may use the adapter; none is always allowed.
-func (p Parameters) MayAdapt(adapter string) bool {
+// AllowsAdapter tells whether the group may use the adapter; none is always allowed.
+func (p Parameters) AllowsAdapter(adapter string) bool {
 	return adapter == "" || contains(p.Adapters, adapter)
 }
 
-// All stands in a list of models or adapters for every name.
-const All = "*"
+// Wildcard stands in a list of models or adapters for every name.
+const Wildcard = "*"
 
 func contains(list []string, name string) bool {
 	for _, s := range list {
-		if s == name || s == All {
+		if s == name || s == Wildcard {
 			return true
 		}
 	}
