--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -75,7 +75,7 @@
 	}
 	changed := 0
 	for _, s := range segments {
-		was := head.Hash(s.ID.Kind, s.ID.Name)
+		was := head.SegmentHash(s.ID.Kind, s.ID.Name)
 		if was == s.Hash {
 			continue
 		}
@@ -173,7 +173,7 @@
 	if err != nil {
 		return withCode(err)
 	}
-	edit, _ := head.Edit(p.ID)
+	edit, _ := head.EditByID(p.ID)
 	return c.print(out, applied{Version: edit.Version, ID: p.ID}, func(w io.Writer) {
 		fmt.Fprintf(w, "version %d is in force (edit %s)\n", edit.Version, p.ID)
 	})
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -256,7 +256,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	head := c.head.Advance(delta)
+	head := c.head.ApplyDelta(delta)
 	if head.Version <= c.head.Version {
 		return nil
 	}
@@ -281,7 +281,7 @@
 	if request.Version >= c.head.Version {
 		return &peerpb.ConfigurationReply{}, nil
 	}
-	delta := c.head.Since(request.Version)
+	delta := c.head.DeltaSince(request.Version)
 	text, err := json.Marshal(delta)
 	if err != nil {
 		return nil, fmt.Errorf("router: %w", err)
--- a/pkg/policy/delta.go
+++ b/pkg/policy/delta.go
@@ -13,8 +13,8 @@
 	Edits []Edit `json:"edits,omitempty"`
 }
 
-// Since returns the delta from a version to this head.
-func (h Head) Since(version uint64) Delta {
+// DeltaSince returns the delta from a version to this head.
+func (h Head) DeltaSince(version uint64) Delta {
 	first := slices.IndexFunc(h.Edits, func(e Edit) bool { return e.Version == version+1 })
 	if version == 0 || first < 0 {
 		return Delta{Full: &h}
@@ -41,9 +41,9 @@
 	return hashes
 }
 
-// Advance returns the head after the delta. A delta from another version, or
+// ApplyDelta returns the head after the delta. A delta from another version, or
 // one that leads back, is left out.
-func (h Head) Advance(d Delta) Head {
+func (h Head) ApplyDelta(d Delta) Head {
 	if d.Full != nil {
 		if d.Full.Version > h.Version {
 			return *d.Full
--- a/pkg/policy/edit.go
+++ b/pkg/policy/edit.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return Head{}, err
 	}
-	if _, done := head.Edit(p.ID); done {
+	if _, done := head.EditByID(p.ID); done {
 		return head, nil
 	}
 	next, err := rebase(ctx, store, head, p)
@@ -117,7 +117,7 @@
 
 // rebase checks the proposal against the head in force and returns the next.
 func rebase(ctx context.Context, store kv.Store, head Head, p Proposal) (Head, error) {
-	base, err := head.At(p.Base)
+	base, err := head.SegmentsAt(p.Base)
 	if err != nil {
 		return Head{}, err
 	}
@@ -130,7 +130,7 @@
 	}
 	atBase := Head{Segments: base}
 	for i, c := range edit.Changes {
-		was, is := atBase.Hash(c.Kind, c.Name), head.Hash(c.Kind, c.Name)
+		was, is := atBase.SegmentHash(c.Kind, c.Name), head.SegmentHash(c.Kind, c.Name)
 		if was != is {
 			return Head{}, &Conflict{Segment: SegmentID{Kind: c.Kind, Name: c.Name}, Base: was, Current: is, Version: head.Version}
 		}
@@ -147,18 +147,18 @@
 
 // Rollback proposes the content of an earlier version as a new one.
 func Rollback(head Head, version uint64) (put []Entry, remove []SegmentID, err error) {
-	old, err := head.At(version)
+	old, err := head.SegmentsAt(version)
 	if err != nil {
 		return nil, nil, err
 	}
 	for _, e := range old {
-		if head.Hash(e.Kind, e.Name) != e.Hash {
+		if head.SegmentHash(e.Kind, e.Name) != e.Hash {
 			put = append(put, e)
 		}
 	}
 	past := Head{Segments: old}
 	for _, e := range head.Segments {
-		if past.Hash(e.Kind, e.Name) == "" {
+		if past.SegmentHash(e.Kind, e.Name) == "" {
 			remove = append(remove, SegmentID{Kind: e.Kind, Name: e.Name})
 		}
 	}
--- a/pkg/policy/head.go
+++ b/pkg/policy/head.go
@@ -67,8 +67,8 @@
 	return b
 }
 
-// Hash returns the hash of a segment in this head, or "" when it has none.
-func (h Head) Hash(kind Kind, name string) Hash {
+// SegmentHash returns the hash of a segment in this head, or "" when it has none.
+func (h Head) SegmentHash(kind Kind, name string) Hash {
 	for _, e := range h.Segments {
 		if e.Kind == kind && e.Name == name {
 			return e.Hash
@@ -77,8 +77,8 @@
 	return ""
 }
 
-// Edit returns the edit with this id, if the head still holds it.
-func (h Head) Edit(id string) (Edit, bool) {
+// EditByID returns the edit with this id, if the head still holds it.
+func (h Head) EditByID(id string) (Edit, bool) {
 	for _, e := range h.Edits {
 		if e.ID == id {
 			return e, true
@@ -136,9 +136,9 @@
 	return 0
 }
 
-// At returns the segments that were in force at an earlier version, found by
+// SegmentsAt returns the segments that were in force at an earlier version, found by
 // walking the edits backwards.
-func (h Head) At(version uint64) ([]Entry, error) {
+func (h Head) SegmentsAt(version uint64) ([]Entry, error) {
 	if version > h.Version {
 		return nil, fmt.Errorf("%w: %d is newer than %d", ErrVersion, version, h.Version)
 	}
--- a/pkg/policy/policy_test.go
+++ b/pkg/policy/policy_test.go
@@ -151,9 +151,9 @@
 	second := expectVersion(t, 2)(Apply(ctx, store, proposal(t, "e2", 1, "[service lookup]\nrepeatable = no\n[service new]\n")))
 	put, remove, err := Rollback(second, 1)
 	require.NoError(t, err)
-	assert.Equal(t, []Entry{{KindService, "lookup", first.Hash(KindService, "lookup")}}, put)
+	assert.Equal(t, []Entry{{KindService, "lookup", first.SegmentHash(KindService, "lookup")}}, put)
 	assert.Equal(t, []SegmentID{{KindService, "new"}}, remove)
-	_, err = second.At(3)
+	_, err = second.SegmentsAt(3)
 	assert.ErrorIs(t, err, ErrVersion)
 }
 
@@ -163,9 +163,9 @@
 		h = h.apply(Edit{ID: fmt.Sprint(i), Changes: []Change{{Kind: KindService, Name: "s", Before: Hash(fmt.Sprint(i)), After: Hash(fmt.Sprint(i + 1))}}})
 	}
 	assert.Len(t, h.Edits, maxEdits)
-	_, err := h.At(5)
+	_, err := h.SegmentsAt(5)
 	assert.ErrorIs(t, err, ErrVersion)
-	past, err := h.At(20)
+	past, err := h.SegmentsAt(20)
 	require.NoError(t, err)
 	assert.Equal(t, Hash("20"), past[0].Hash)
 }
@@ -175,13 +175,13 @@
 	first := expectVersion(t, 1)(Apply(ctx, store, proposal(t, "e1", 0, sample)))
 	expectVersion(t, 2)(Apply(ctx, store, proposal(t, "e2", 1, "[service lookup]\nrepeatable = no\n")))
 	third := expectVersion(t, 3)(Apply(ctx, store, proposal(t, "e3", 2, "[service more]\n")))
-	delta := third.Since(1)
+	delta := third.DeltaSince(1)
 	assert.Nil(t, delta.Full)
 	assert.Len(t, delta.Hashes(), 2)
-	assert.Equal(t, third, first.Advance(delta))
-	assert.Equal(t, third, third.Advance(first.Since(0)), "never back")
-	assert.Equal(t, third, Head{}.Advance(third.Since(0)))
-	assert.Equal(t, first, first.Advance(third.Since(2)), "a delta from another version is left out")
+	assert.Equal(t, third, first.ApplyDelta(delta))
+	assert.Equal(t, third, third.ApplyDelta(first.DeltaSince(0)), "never back")
+	assert.Equal(t, third, Head{}.ApplyDelta(third.DeltaSince(0)))
+	assert.Equal(t, first, first.ApplyDelta(third.DeltaSince(2)), "a delta from another version is left out")
 }
 
 func TestAdoptedNeverGoesBack(t *testing.T) {
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -244,7 +244,7 @@
 		next := must(policy.Apply(ctx, store, policy.Proposal{ID: "b", Base: 1, Put: must(policy.Split("capacity", []byte("[group g1]\norganisation = o1\nshare = 7\n")))}))
 		bytes := heap(func() any { return must(policy.Resolve(1, segments)) })
 		resolve := perCall(func() { must(policy.Resolve(1, segments)) })
-		row(n, len(head.Encode()), bytes, resolve/1e6, len(jsonOf(next.Since(1))))
+		row(n, len(head.Encode()), bytes, resolve/1e6, len(jsonOf(next.DeltaSince(1))))
 	}
 }
 
--- a/test/linear/linear_test.go
+++ b/test/linear/linear_test.go
@@ -210,7 +210,7 @@
 			accepted, err := policy.Apply(ctx, store, policy.Proposal{ID: id, Put: segments, Base: baseOf(store)})
 			switch {
 			case err == nil:
-				made, _ := accepted.Edit(id)
+				made, _ := accepted.EditByID(id)
 				return int(made.Version)
 			case errors.Is(err, policy.ErrUnknown):
 				return -1
