--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -94,11 +94,11 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, policy.ErrInvalid), errors.Is(err, policy.ErrVersion):
+	case errors.Is(err, policy.ErrInvalid), errors.Is(err, policy.ErrVersionUnknown):
 		code = command.ExitUsage
 	case errors.Is(err, policy.ErrConflict):
 		code = ExitConflict
-	case errors.Is(err, policy.ErrUnknown):
+	case errors.Is(err, policy.ErrOutcomeUnknown):
 		code = ExitUnknown
 	case errors.Is(err, policy.ErrUnavailable):
 		code = ExitUnavailable
--- a/pkg/policy/edit.go
+++ b/pkg/policy/edit.go
@@ -82,13 +82,13 @@
 			continue
 		case unsettled && (errors.Is(err, kv.ErrUnavailable) || errors.Is(err, ErrUnavailable)):
 			// The swap whose answer was lost may still be in force or on its way.
-			return Head{}, fmt.Errorf("%w: edit %s: %v", ErrUnknown, p.ID, err)
+			return Head{}, fmt.Errorf("%w: edit %s: %v", ErrOutcomeUnknown, p.ID, err)
 		default:
 			return Head{}, convert(err)
 		}
 	}
 	if unsettled {
-		return Head{}, fmt.Errorf("%w: edit %s: no answer in %d tries", ErrUnknown, p.ID, maxTries)
+		return Head{}, fmt.Errorf("%w: edit %s: no answer in %d tries", ErrOutcomeUnknown, p.ID, maxTries)
 	}
 	return Head{}, fmt.Errorf("%w: edit %s lost %d races", ErrUnavailable, p.ID, maxTries)
 }
@@ -200,7 +200,7 @@
 	case errors.Is(err, kv.ErrUnavailable):
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	case errors.Is(err, kv.ErrUnknown):
-		return fmt.Errorf("%w: %v", ErrUnknown, err)
+		return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 	case errors.Is(err, kv.ErrTooLarge):
 		return fmt.Errorf("%w: %v", ErrInvalid, err)
 	}
--- a/pkg/policy/head.go
+++ b/pkg/policy/head.go
@@ -140,7 +140,7 @@
 // walking the edits backwards.
 func (h Head) SegmentsAt(version uint64) ([]Entry, error) {
 	if version > h.Version {
-		return nil, fmt.Errorf("%w: %d is newer than %d", ErrVersion, version, h.Version)
+		return nil, fmt.Errorf("%w: %d is newer than %d", ErrVersionUnknown, version, h.Version)
 	}
 	entries := slices.Clone(h.Segments)
 	for i := len(h.Edits) - 1; i >= 0 && h.Edits[i].Version > version; i-- {
@@ -154,5 +154,5 @@
 	if version == h.Version {
 		return entries, nil
 	}
-	return nil, fmt.Errorf("%w: %d is older than the %d edits kept", ErrVersion, version, len(h.Edits))
+	return nil, fmt.Errorf("%w: %d is older than the %d edits kept", ErrVersionUnknown, version, len(h.Edits))
 }
--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -25,10 +25,10 @@
 	ErrConflict = errors.New("policy: edit conflict")
 	// ErrUnavailable: nothing was changed; the service could not be asked.
 	ErrUnavailable = errors.New("policy: service unavailable")
-	// ErrUnknown: the edit may or may not be in force; ask again with its id.
-	ErrUnknown = errors.New("policy: outcome unknown")
-	// ErrVersion: the version asked for is no longer in the head's history.
-	ErrVersion = errors.New("policy: version not known")
+	// ErrOutcomeUnknown: the edit may or may not be in force; ask again with its id.
+	ErrOutcomeUnknown = errors.New("policy: outcome unknown")
+	// ErrVersionUnknown: the version asked for is no longer in the head's history.
+	ErrVersionUnknown = errors.New("policy: version not known")
 )
 
 // Kind tells what a segment describes.
--- a/pkg/policy/policy_test.go
+++ b/pkg/policy/policy_test.go
@@ -154,7 +154,7 @@
 	assert.Equal(t, []Entry{{KindService, "lookup", first.SegmentHash(KindService, "lookup")}}, put)
 	assert.Equal(t, []SegmentID{{KindService, "new"}}, remove)
 	_, err = second.SegmentsAt(3)
-	assert.ErrorIs(t, err, ErrVersion)
+	assert.ErrorIs(t, err, ErrVersionUnknown)
 }
 
 func TestHistoryIsBounded(t *testing.T) {
@@ -164,7 +164,7 @@
 	}
 	assert.Len(t, h.Edits, maxEdits)
 	_, err := h.SegmentsAt(5)
-	assert.ErrorIs(t, err, ErrVersion)
+	assert.ErrorIs(t, err, ErrVersionUnknown)
 	past, err := h.SegmentsAt(20)
 	require.NoError(t, err)
 	assert.Equal(t, Hash("20"), past[0].Hash)
@@ -221,7 +221,7 @@
 			switch {
 			case err == nil:
 				accepted[id] = true
-			case !errors.Is(err, ErrUnknown):
+			case !errors.Is(err, ErrOutcomeUnknown):
 				refused[id] = true
 			}
 			if rapid.Bool().Draw(t, "deliver") {
--- a/test/linear/linear_test.go
+++ b/test/linear/linear_test.go
@@ -212,7 +212,7 @@
 			case err == nil:
 				made, _ := accepted.EditByID(id)
 				return int(made.Version)
-			case errors.Is(err, policy.ErrUnknown):
+			case errors.Is(err, policy.ErrOutcomeUnknown):
 				return -1
 			}
 			return 0
