--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -230,7 +230,7 @@
 	took := steady.Since(c.arrival)
 	f.metrics.RecordRequest(c.name(), c.outcome.name, took, c.firstByte.Sub(c.arrival), !c.firstByte.IsZero())
 	if c.exclusive {
-		f.poison.End(c.digest())
+		f.poison.EndRun(c.digest())
 	}
 	id, written := c.endEvent()
 	if !written {
--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -57,7 +57,7 @@
 		return c.refusePoisoned(busyAfter)
 	case c.exclusive:
 		return nil
-	case v.State == poison.Trial && !c.front.mine(c.digest()), !memory.Begin(c.digest(), v.State, now):
+	case v.State == poison.Trial && !c.front.mine(c.digest()), !memory.BeginRun(c.digest(), v.State, now):
 		return c.refusePoisoned(busyAfter)
 	}
 	c.exclusive, c.trial = true, v.State == poison.Trial
--- a/pkg/poison/ask.go
+++ b/pkg/poison/ask.go
@@ -77,9 +77,9 @@
 	return last.Add(min(hold, life))
 }
 
-// Begin notes that a request is sent that is to run alone, or tried though held, and
+// BeginRun notes that a request is sent that is to run alone, or tried though held, and
 // tells whether it may be: no other run of it is under way from this router.
-func (m *Tracker) Begin(d Digest, state State, now time.Time) bool {
+func (m *Tracker) BeginRun(d Digest, state State, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.find(d)
@@ -98,8 +98,8 @@
 	return true
 }
 
-// End ends what Begin began.
-func (m *Tracker) End(d Digest) {
+// EndRun ends what Begin began.
+func (m *Tracker) EndRun(d Digest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s := m.find(d); s != nil {
--- a/pkg/poison/poison_test.go
+++ b/pkg/poison/poison_test.go
@@ -78,10 +78,10 @@
 func TestASuspectRunsOnceAtATime(t *testing.T) {
 	m := New(Options{Limits: limits})
 	m.play([]step{{1, 0}, {2, 5}})
-	assert.True(t, m.Begin(body, Suspected, at(6)))
-	assert.False(t, m.Begin(body, Suspected, at(6)))
-	m.End(body)
-	assert.True(t, m.Begin(body, Suspected, at(6)))
+	assert.True(t, m.BeginRun(body, Suspected, at(6)))
+	assert.False(t, m.BeginRun(body, Suspected, at(6)))
+	m.EndRun(body)
+	assert.True(t, m.BeginRun(body, Suspected, at(6)))
 }
 
 // A trial whose caller leaves shows nothing, and is not to be followed by one after the
@@ -91,9 +91,9 @@
 	m.play([]step{{1, 0}, {2, 0}, {3, 0}})
 	trials := 0
 	for s := 0.0; s < 20*3600; s += 10 {
-		if m.Check(body, at(s)).State == Trial && m.Begin(body, Trial, at(s)) {
+		if m.Check(body, at(s)).State == Trial && m.BeginRun(body, Trial, at(s)) {
 			trials++
-			m.End(body)
+			m.EndRun(body)
 		}
 	}
 	assert.Equal(t, maxTrials, trials)
