--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -69,7 +69,7 @@
 		refused:       make(map[admission.Reason]gometrics.Counter),
 		origins:       make(map[placement.Origin]gometrics.Counter),
 	}
-	for reason, name := range admission.Reasons() {
+	for reason, name := range admission.ReasonNames() {
 		if reason != admission.Served {
 			m.refused[reason] = counter("requests.refused." + name)
 		}
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -101,7 +101,7 @@
 	if j.Engine != 0 {
 		cached = j.PromptTokens - j.FreshTokens
 	}
-	return admission.Work(j.PromptTokens, cached, j.OutputTokens)
+	return admission.EstimateWork(j.PromptTokens, cached, j.OutputTokens)
 }
 
 // wanted names what an engine must serve.
--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -23,8 +23,8 @@
 // outputWeight is the work of one output token in prompt tokens.
 const outputWeight = 4
 
-// Work estimates the work of a request in tokens.
-func Work(promptTokens, cachedTokens, outputTokens int) float64 {
+// EstimateWork estimates the work of a request in tokens.
+func EstimateWork(promptTokens, cachedTokens, outputTokens int) float64 {
 	uncached := max(promptTokens-cachedTokens, 1)
 	return float64(uncached) + outputWeight*float64(outputTokens)
 }
@@ -86,8 +86,8 @@
 	return fmt.Sprintf("reason_%d", uint32(r))
 }
 
-// Reasons returns the name of each reason.
-func Reasons() map[Reason]string { return reasonNames }
+// ReasonNames returns the name of each reason.
+func ReasonNames() map[Reason]string { return reasonNames }
 
 // ErrRefused is wrapped by every Refusal.
 var ErrRefused = errors.New("admission: refused")
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -226,7 +226,7 @@
 
 func TestRefusalNames(t *testing.T) {
 	seen := map[string]bool{}
-	for reason := range Reasons() {
+	for reason := range ReasonNames() {
 		assert.False(t, seen[reason.String()])
 		seen[reason.String()] = true
 	}
--- a/test/measure/croftyard.go
+++ b/test/measure/croftyard.go
@@ -316,7 +316,7 @@
 		Flow:     "group",
 		Share:    1,
 		Deadline: c.w.clock().Add(time.Minute),
-		Work:     admission.Work(j.prompt(), j.prompt()-j.fresh, j.output),
+		Work:     admission.EstimateWork(j.prompt(), j.prompt()-j.fresh, j.output),
 		Engine:   j.chat.engine,
 		Prefix:   j.chat.prefix,
 		Bound:    c.w.spec.bound,
