--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -87,7 +87,7 @@
 	if token.Chat != 0 {
 		job.Chat = token.Chat
 	}
-	keys := placement.Keys{Current: snapshot.Fleet.ChatKey, Previous: snapshot.Fleet.PreviousChatKey}
+	keys := placement.TokenKeys{Current: snapshot.Fleet.ChatKey, Previous: snapshot.Fleet.PreviousChatKey}
 	seal := func(engine string) string {
 		return keys.Seal(placement.Token{
 			Engine: placement.Hash(engine),
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -147,7 +147,7 @@
 	if text == "" {
 		return placement.Token{}
 	}
-	keys := placement.Keys{Current: s.Fleet.ChatKey, Previous: s.Fleet.PreviousChatKey}
+	keys := placement.TokenKeys{Current: s.Fleet.ChatKey, Previous: s.Fleet.PreviousChatKey}
 	token, err := keys.Open(text)
 	if err == nil && (token.Group != placement.Hash(group.Name) || token.Model != modelHash) {
 		err = errForeignToken
--- a/internal/router/explain.go
+++ b/internal/router/explain.go
@@ -61,7 +61,7 @@
 	}
 	job := &Job{Group: group, Model: q.Model, Chat: placement.Hash(q.Group)}
 	if q.Token != "" {
-		keys := placement.Keys{Current: snapshot.Fleet.ChatKey, Previous: snapshot.Fleet.PreviousChatKey}
+		keys := placement.TokenKeys{Current: snapshot.Fleet.ChatKey, Previous: snapshot.Fleet.PreviousChatKey}
 		token, err := keys.Open(q.Token)
 		e.Token = "valid"
 		if err != nil || token.Group != placement.Hash(q.Group) || token.Model != placement.Hash(q.Model) {
--- a/pkg/placement/example_test.go
+++ b/pkg/placement/example_test.go
@@ -19,7 +19,7 @@
 	choice := layout.Choose(placement.Request{Chat: placement.Hash("chat-7"), Engine: placement.None}, loads, 1.15, rnd)
 	fmt.Println("placed by", choice.Origin)
 
-	keys := placement.Keys{Current: []byte("a secret of sixteen or more bytes")}
+	keys := placement.TokenKeys{Current: []byte("a secret of sixteen or more bytes")}
 	text := keys.Seal(placement.Token{Engine: engines[1]})
 	token, err := keys.Open(text)
 	fmt.Println(token.Engine == engines[1], err)
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -179,12 +179,12 @@
 }
 
 func TestTokenRoundTrip(t *testing.T) {
-	old := Keys{Current: []byte("0123456789abcdef")}
+	old := TokenKeys{Current: []byte("0123456789abcdef")}
 	token := Token{Engine: 1, Model: 2, Chat: 3, Group: 4, Prefix: 5}
 	text := old.Seal(token)
 	assert.Len(t, text, 76)
-	rotated := Keys{Current: []byte("fedcba9876543210"), Previous: old.Current}
-	for _, keys := range []Keys{old, rotated} {
+	rotated := TokenKeys{Current: []byte("fedcba9876543210"), Previous: old.Current}
+	for _, keys := range []TokenKeys{old, rotated} {
 		got, err := keys.Open(text)
 		require.NoError(t, err)
 		assert.Equal(t, token, got)
@@ -194,14 +194,14 @@
 			continue
 		}
 		_, err := old.Open(bad)
-		assert.ErrorIs(t, err, ErrToken, bad)
+		assert.ErrorIs(t, err, ErrInvalidToken, bad)
 	}
-	_, err := Keys{Current: []byte("another key of 16")}.Open(text)
-	assert.ErrorIs(t, err, ErrToken)
+	_, err := TokenKeys{Current: []byte("another key of 16")}.Open(text)
+	assert.ErrorIs(t, err, ErrInvalidToken)
 }
 
 func FuzzOpen(f *testing.F) {
-	keys := Keys{Current: []byte("0123456789abcdef")}
+	keys := TokenKeys{Current: []byte("0123456789abcdef")}
 	f.Add(keys.Seal(Token{Engine: 1}))
 	f.Add("")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/pkg/placement/token.go
+++ b/pkg/placement/token.go
@@ -31,20 +31,20 @@
 	tokenMAC     = 16
 )
 
-// ErrToken is returned for a token that is damaged, forged or of another key.
+// ErrInvalidToken is returned for a token that is damaged, forged or of another key.
 // Such a token is to be ignored and counted: it is a hint, never a credential.
-var ErrToken = errors.New("placement: chat token not valid")
+var ErrInvalidToken = errors.New("placement: chat token not valid")
 
-// Keys authenticate tokens. Previous is accepted but never used to sign, so
+// TokenKeys authenticate tokens. Previous is accepted but never used to sign, so
 // that a key can be replaced without losing affinity. Each is any secret of at
 // least 16 bytes; Previous may be empty.
-type Keys struct {
+type TokenKeys struct {
 	Current  []byte
 	Previous []byte
 }
 
 // Seal returns the token's text.
-func (k Keys) Seal(t Token) string {
+func (k TokenKeys) Seal(t Token) string {
 	b := make([]byte, 0, tokenBody+tokenMAC)
 	b = append(b, tokenVersion)
 	for _, v := range [...]uint64{t.Engine, t.Model, t.Chat, t.Group, t.Prefix} {
@@ -55,27 +55,27 @@
 }
 
 // Open checks a token's text and returns what it says, or ErrToken.
-func (k Keys) Open(text string) (Token, error) {
+func (k TokenKeys) Open(text string) (Token, error) {
 	if len(text) != base64.RawURLEncoding.EncodedLen(tokenBody+tokenMAC) {
-		return Token{}, fmt.Errorf("%w: length %d", ErrToken, len(text))
+		return Token{}, fmt.Errorf("%w: length %d", ErrInvalidToken, len(text))
 	}
 	b, err := base64.RawURLEncoding.DecodeString(text)
 	// The decoder passes over line breaks, so the text's length is not enough.
 	if err != nil || len(b) != tokenBody+tokenMAC {
-		return Token{}, fmt.Errorf("%w: not base64", ErrToken)
+		return Token{}, fmt.Errorf("%w: not base64", ErrInvalidToken)
 	}
 	body, sum := b[:tokenBody], b[tokenBody:]
 	if body[0] != tokenVersion {
-		return Token{}, fmt.Errorf("%w: version %d", ErrToken, body[0])
+		return Token{}, fmt.Errorf("%w: version %d", ErrInvalidToken, body[0])
 	}
 	if !k.signed(body, sum) {
-		return Token{}, fmt.Errorf("%w: not signed by a current key", ErrToken)
+		return Token{}, fmt.Errorf("%w: not signed by a current key", ErrInvalidToken)
 	}
 	word := func(i int) uint64 { return binary.BigEndian.Uint64(body[1+8*i:]) }
 	return Token{Engine: word(0), Model: word(1), Chat: word(2), Group: word(3), Prefix: word(4)}, nil
 }
 
-func (k Keys) signed(body, sum []byte) bool {
+func (k TokenKeys) signed(body, sum []byte) bool {
 	if hmac.Equal(sum, mac(k.Current, body)) {
 		return true
 	}
