--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -287,7 +287,7 @@
 		return nil, fmt.Errorf("router: %w", err)
 	}
 	reply := &peerpb.ConfigurationReply{Head: text}
-	for _, hash := range delta.Hashes() {
+	for _, hash := range delta.SegmentHashes() {
 		// A segment that a later edit replaced is no longer needed.
 		if segment, current := c.texts[hash]; current {
 			reply.Hash = append(reply.Hash, string(hash))
--- a/pkg/policy/delta.go
+++ b/pkg/policy/delta.go
@@ -22,8 +22,8 @@
 	return Delta{From: version, Edits: h.Edits[first:]}
 }
 
-// Hashes returns the segments that the delta brings, newest last.
-func (d Delta) Hashes() []Hash {
+// SegmentHashes returns the segments that the delta brings, newest last.
+func (d Delta) SegmentHashes() []Hash {
 	var hashes []Hash
 	if d.Full != nil {
 		for _, e := range d.Full.Segments {
--- a/pkg/policy/policy_test.go
+++ b/pkg/policy/policy_test.go
@@ -177,7 +177,7 @@
 	third := expectVersion(t, 3)(Apply(ctx, store, proposal(t, "e3", 2, "[service more]\n")))
 	delta := third.DeltaSince(1)
 	assert.Nil(t, delta.Full)
-	assert.Len(t, delta.Hashes(), 2)
+	assert.Len(t, delta.SegmentHashes(), 2)
 	assert.Equal(t, third, first.ApplyDelta(delta))
 	assert.Equal(t, third, third.ApplyDelta(first.DeltaSince(0)), "never back")
 	assert.Equal(t, third, Head{}.ApplyDelta(third.DeltaSince(0)))
