--- a/internal/front/admit.go
+++ b/internal/front/admit.go
@@ -24,7 +24,7 @@
 	if refused == nil {
 		return c.checkProof(ctx, state)
 	}
-	if state.Age(steady.Now()) < c.front.limits.Load().MaxAbsenceProofAge {
+	if state.ProofAge(steady.Now()) < c.front.limits.Load().MaxAbsenceProofAge {
 		return refused
 	}
 	if !c.waitFresh(ctx, c.arrival) {
@@ -47,7 +47,7 @@
 
 // checkProof refuses a request with a key whose revocation might be unknown.
 func (c *call) checkProof(ctx context.Context, state *freshness.State) *refusal {
-	if c.organisation == nil || state.Age(steady.Now()) < c.front.limits.Load().MaxKeyProofAge {
+	if c.organisation == nil || state.ProofAge(steady.Now()) < c.front.limits.Load().MaxKeyProofAge {
 		return nil
 	}
 	// Any proof that is young enough will do; one that is asked for now is.
--- a/internal/front/eligible.go
+++ b/internal/front/eligible.go
@@ -71,7 +71,7 @@
 		return fmt.Errorf("%w: request crashes what runs it", errNotAllowed)
 	}
 	limits := c.front.limits.Load()
-	age := c.front.holder.Current().Age(now)
+	age := c.front.holder.Current().ProofAge(now)
 	// By AbsenceProof a proof that was asked for at admission is young enough.
 	if c.organisation != nil && age >= max(limits.MaxKeyProofAge, limits.MaxAbsenceProofAge) {
 		return fmt.Errorf("%w: configuration proven %v ago, too long for keys", errNotAllowed, age)
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -145,7 +145,7 @@
 
 // Staleness returns how old the proof of the configuration is.
 func (w *Watcher) Staleness(now time.Time) time.Duration {
-	return w.holder.Current().Age(now)
+	return w.holder.Current().ProofAge(now)
 }
 
 // Age returns how old all knowledge is: the older of the configuration's proof
--- a/pkg/freshness/freshness.go
+++ b/pkg/freshness/freshness.go
@@ -28,8 +28,8 @@
 	LastReadAt time.Time
 }
 
-// Age returns how old the proof is.
-func (s *State) Age(now time.Time) time.Duration { return now.Sub(s.ProvenAt) }
+// ProofAge returns how old the proof is.
+func (s *State) ProofAge(now time.Time) time.Duration { return now.Sub(s.ProvenAt) }
 
 // Holder holds the newest state. It is safe for concurrent use.
 type Holder struct {
--- a/pkg/freshness/freshness_test.go
+++ b/pkg/freshness/freshness_test.go
@@ -40,5 +40,5 @@
 	assert.True(t, h.ConfirmVersion(5, start))
 	assert.Equal(t, start.Add(time.Second), h.Current().ProvenAt, "a proof that comes late takes nothing back")
 	assert.False(t, h.Update(table(t, 5), start.Add(2*time.Second)))
-	assert.Equal(t, 3*time.Second, h.Current().Age(start.Add(5*time.Second)))
+	assert.Equal(t, 3*time.Second, h.Current().ProofAge(start.Add(5*time.Second)))
 }
