--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -38,7 +38,7 @@
 	return c
 }
 
-func TestRoutersAgreeOnHomesWithoutAWord(t *testing.T) {
+func TestRoutersAgreeOnHomes(t *testing.T) {
 	one, two := newBalancer(engines(12)), New(2)
 	two.SetReplicas(engines(12), start)
 	homes := make(map[string]int)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestWhatOthersRunCounts(t *testing.T) {
+func TestLoadIncludesPeerRequests(t *testing.T) {
 	b := newBalancer(engines(12))
 	home := pick(t, b, prompt(5), start).Replica.ID
 	b.MergePeer("other", PeerUpdate{Running: []ReplicaCount{{Replica: ReplicaHash(home), Running: 9}}}, start)
@@ -77,7 +77,7 @@
 	assert.Equal(t, home, pick(t, b, prompt(5), start).Replica.ID)
 }
 
-func TestAReportCountsWhileItIsYoung(t *testing.T) {
+func TestLoadReportExpires(t *testing.T) {
 	b := newBalancer(engines(12))
 	home := pick(t, b, prompt(5), start).Replica.ID
 	b.LoadReported(home, 30, start)
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestHoldersAreToldAndCopiedFrom(t *testing.T) {
+func TestHoldersAreSharedAndCopiedFrom(t *testing.T) {
 	one, two := newBalancer(engines(12)), newBalancer(engines(12))
 	home := pick(t, one, prompt(5), start)
 	one.RequestSucceeded(home.Replica.ID, prompt(5), start)
@@ -115,7 +115,7 @@
 	assert.Equal(t, home.Replica.Address, c.CopySource, "the opening is shared")
 }
 
-func TestADrainingEngineGetsNothingButIsCopiedFrom(t *testing.T) {
+func TestDrainingEngineIsOnlyCopiedFrom(t *testing.T) {
 	list := engines(12)
 	b := newBalancer(list)
 	home := pick(t, b, prompt(5), start)
@@ -133,7 +133,7 @@
 
 // Where a second home was weighed, each part that came twice in a moment was read
 // twice, and a cut made all of them come anew.
-func TestAColdPartIsReadAtOneHome(t *testing.T) {
+func TestUnheldPartIsReadAtOneHome(t *testing.T) {
 	for _, large := range []bool{false, true} {
 		b := newBalancer(engines(12))
 		b.SetLargeFleet(large)
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestFailuresAreAvoidedLongerEachTime(t *testing.T) {
+func TestAvoidanceDoublesWithEachFailure(t *testing.T) {
 	var h health
 	now := start
 	for _, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 6 * time.Second, 6 * time.Second} {
@@ -163,7 +163,7 @@
 	assert.Zero(t, h.failures)
 }
 
-func TestASuspectIsPassedOverAndToldOf(t *testing.T) {
+func TestSuspectIsPassedOverAndGossiped(t *testing.T) {
 	b, other := newBalancer(engines(3)), newBalancer(engines(3))
 	home := pick(t, b, prompt(5), start).Replica.ID
 	b.RequestFailed(home, Refused, "dc0", start)
@@ -175,7 +175,7 @@
 	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(time.Minute)).Replica.ID)
 }
 
-func TestTwoUnreachableReplicasSpeakAgainstTheirDataCentre(t *testing.T) {
+func TestTwoUnreachableReplicasMarkTheirDataCentre(t *testing.T) {
 	b := newBalancer(engines(12))
 	b.RequestFailed("i-1", Unreachable, "dc0", start)
 	assert.False(t, b.Suspected("i-4", start))
@@ -223,7 +223,7 @@
 
 // A diverted request found an engine that held the opening, so that it was told
 // no source, and read the rest again that its home held.
-func TestWhereACopyComesFromWhenNoHolderIsKnown(t *testing.T) {
+func TestCopySourceWithoutKnownHolder(t *testing.T) {
 	b := newBalancer(engines(12))
 	home := pick(t, b, prompt(5), start).Replica
 	second := pick(t, b, prompt(5), start, home.ID).Replica
@@ -235,7 +235,7 @@
 	assert.Equal(t, second.Address, pick(t, b, prompt(5), start).CopySource, "at the home: the opening from whoever holds it")
 }
 
-func TestTheNextHomeCopiesFromOneThatDrains(t *testing.T) {
+func TestNextHomeCopiesFromDrainingHome(t *testing.T) {
 	list := engines(12)
 	b := newBalancer(list)
 	b.SetLargeFleet(true)
@@ -251,7 +251,7 @@
 	assert.Equal(t, home.Address, c.CopySource, "although no holder is known")
 }
 
-func TestAnEngineThatJoinedCopiesFromTheHomeBefore(t *testing.T) {
+func TestNewEngineCopiesFromPreviousHome(t *testing.T) {
 	list := engines(13)
 	for part := range uint64(200) {
 		b := newBalancer(list[:12])
@@ -271,7 +271,7 @@
 	t.Fatal("the new engine became no part's home")
 }
 
-func TestAFailureThatIsToldLateCountsFromWhenItWasSeen(t *testing.T) {
+func TestLateFailureRumorCountsFromObservation(t *testing.T) {
 	b := newBalancer(engines(3))
 	late := PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{ReplicaHash("i-0"), Shed, start.Add(-time.Second)}, {ReplicaHash("i-1"), Refused, start.Add(-500 * time.Millisecond)}}}}
 	b.MergePeer("other", late, start)
@@ -299,7 +299,7 @@
 	assert.Len(t, places, 1)
 }
 
-func TestTheLastResortKeepsABoundOfItsOwn(t *testing.T) {
+func TestLastResortHasItsOwnBound(t *testing.T) {
 	b := newBalancer(engines(12))
 	for i := range 12 {
 		b.RequestFailed(fmt.Sprintf("i-%d", i), Refused, "dc0", start)
@@ -313,7 +313,7 @@
 	assert.Greater(t, len(running), 5, "one part alone does not pile up on one engine")
 }
 
-func TestTheBoundIsThatOfTheEnginesWithinReach(t *testing.T) {
+func TestBoundIgnoresUnreachableEngines(t *testing.T) {
 	b := newBalancer(engines(12))
 	b.SetCentreSilent("dc1", true)
 	b.SetCentreSilent("dc2", true)
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -66,7 +66,7 @@
 	assert.InDelta(t, 66, warm, 30, "it is a home again once it is warm")
 }
 
-func TestAServiceThatBearsTheSameWhenColdIsNotHeldBack(t *testing.T) {
+func TestServiceWithoutColdRateIsNotHeldBack(t *testing.T) {
 	b := settled(chill(engines(1), start.Add(time.Minute), 0), "a", []string{"a", "b", "c", "d", "e"})
 	for range 50 {
 		_, found := b.Pick(Request{Service: "llm", Parts: prompt(1)}, start)
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestAColdReplicaTakesWhatNoWarmOneHasRoomFor(t *testing.T) {
+func TestColdReplicaTakesOverflow(t *testing.T) {
 	for name, c := range map[string]struct {
 		parts []Part
 		spoil func(b *Balancer)
@@ -128,7 +128,7 @@
 	return most
 }
 
-func TestAllRoutersTogetherKeepTheBoundOfAColdReplica(t *testing.T) {
+func TestRoutersTogetherKeepColdBound(t *testing.T) {
 	for name, c := range map[string]struct {
 		parts  []Part
 		groups [][]string
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestARouterThatStartsSendsNothingToColdReplicas(t *testing.T) {
+func TestNewRouterSendsNothingToColdReplicas(t *testing.T) {
 	list := chill(engines(1), start.Add(time.Minute), 0)
 	b := New(1)
 	b.SetColdBounds(coldBounds)
@@ -181,7 +181,7 @@
 	assert.True(t, found)
 }
 
-func TestAllowancesOfOtherSizes(t *testing.T) {
+func TestColdSendersAndRate(t *testing.T) {
 	for _, c := range []struct {
 		bounds  ColdBounds
 		senders int
@@ -197,7 +197,7 @@
 	}
 }
 
-func TestAnEvacuatedReplicaGetsNothingButIsCopiedFrom(t *testing.T) {
+func TestEvacuatedReplicaIsOnlyCopiedFrom(t *testing.T) {
 	b := newBalancer(engines(6))
 	first := pick(t, b, prompt(1), start)
 	b.RequestSucceeded(first.Replica.ID, prompt(1), start)
@@ -223,7 +223,7 @@
 
 // A day with an evacuation: LIMIT, since the bound was that of the mean of two thirds
 // of the replicas.
-func TestTheBoundIsOfTheMeanOfAllReplicas(t *testing.T) {
+func TestBoundUsesMeanOfAllReplicas(t *testing.T) {
 	for name, change := range map[string]func(r *directory.Replica){
 		"some evacuated": func(r *directory.Replica) { r.Evacuated = true },
 		"some cold":      func(r *directory.Replica) { r.ColdUntil = start.Add(time.Minute) },
@@ -250,7 +250,7 @@
 	}
 }
 
-func TestRoutersAreStrainedWhileManyReplicasAreIdle(t *testing.T) {
+func TestCapacityIsReducedWhileManyReplicasAreIdle(t *testing.T) {
 	b := newBalancer(engines(20))
 	assert.False(t, b.CapacityReduced(start))
 	assert.False(t, New(1).CapacityReduced(start), "before the first list")
--- a/pkg/balance/engineload_test.go
+++ b/pkg/balance/engineload_test.go
@@ -61,7 +61,7 @@
 // engine may have eight: routers that all take its next home until they hear that it is
 // full bring 36 in 1,000 requests of some five seconds to engines above what the users
 // allow (mean of six seeds), 15 since what a session takes is remembered and told.
-func TestASessionThatDrawsAPartOfAKindIsSpreadBeforeAllKnow(t *testing.T) {
+func TestHotChatSessionIsSpread(t *testing.T) {
 	t.Parallel()
 	const warm, length = 6 * time.Second, 8 * time.Second
 	f := newEngineFleet(1, 295, 16, usualEngines)
@@ -77,7 +77,7 @@
 // by all, empties, and gets all again: 75 in 1,000 of the worst five seconds come to
 // engines above what the users allow (mean of six seeds), 16 since what the session
 // takes is remembered and told. What comes before anybody can know of it is most of that.
-func TestASessionThatDrawsAPartOfTheLargestPromptsIsSpread(t *testing.T) {
+func TestHotSessionOfLargePromptsIsSpread(t *testing.T) {
 	t.Parallel()
 	const warm, length = 8 * time.Second, 7 * time.Second
 	f := newEngineFleet(1, 148, 8, 120)
--- a/pkg/balance/evidence_test.go
+++ b/pkg/balance/evidence_test.go
@@ -36,7 +36,7 @@
 
 // One answer in thirty was lost at half of the engines: each was avoided for it,
 // and its parts were copied elsewhere and back.
-func TestAFailureNowAndThenSaysNothing(t *testing.T) {
+func TestOccasionalFailureIsIgnored(t *testing.T) {
 	b := newBalancer(engines(12))
 	serve(b, 12, 10, start)
 	b.RequestFailed("i-4", Broke, "dc0", start)
@@ -45,7 +45,7 @@
 	assert.False(t, b.Suspected("i-4", start.Add(3*evidenceLife)), "the first is forgotten")
 }
 
-func TestAFailureThatAllShowSaysNothing(t *testing.T) {
+func TestFailureCommonToAllIsIgnored(t *testing.T) {
 	for _, large := range []bool{false, true} {
 		b := newBalancer(engines(12))
 		b.SetLargeFleet(large)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestOneThatFailedAMomentAgoIsAvoidedForOneMore(t *testing.T) {
+func TestRecentlyFailedReplicaIsAvoidedAfterOneFailure(t *testing.T) {
 	b := newBalancer(engines(12))
 	serve(b, 12, 4, start)
 	for range 3 {
@@ -74,7 +74,7 @@
 	assert.True(t, b.Suspected("i-4", later))
 }
 
-func TestOneAnswerThatIsLostIsNoHang(t *testing.T) {
+func TestSingleLostAnswerIsNotAHang(t *testing.T) {
 	b := newBalancer(engines(12))
 	serve(b, 12, 4, start)
 	soon := start.Add(100 * time.Millisecond)
@@ -87,7 +87,7 @@
 }
 
 // What is told in a large fleet is judged by whoever saw it, and is passed on once.
-func TestInALargeFleetWhatDoesNotSpeakIsNotPassedOn(t *testing.T) {
+func TestLargeFleetDoesNotForwardInsignificantFailures(t *testing.T) {
 	b := newBalancer(engines(12))
 	b.SetLargeFleet(true)
 	serve(b, 12, 1, start)
@@ -108,7 +108,7 @@
 // One answer that was lost is no hang, here or at the routers of a large fleet, which believe
 // what they are told. Those of a small one judge for themselves: of two such answers that two
 // routers saw, each makes a hang.
-func TestALostAnswerIsToldAsABreak(t *testing.T) {
+func TestLostAnswerIsReportedAsBroken(t *testing.T) {
 	b := New(1)
 	b.SetLargeFleet(true)
 	b.SetReplicas([]directory.Replica{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, start)
--- a/pkg/balance/load_test.go
+++ b/pkg/balance/load_test.go
@@ -31,7 +31,7 @@
 	return prompts
 }
 
-func TestInALargeFleetWhatOtherLinesRunCounts(t *testing.T) {
+func TestLoadIncludesOtherLines(t *testing.T) {
 	list := largeFleet(4)
 	home := pick(t, list[0], prompt(5), start).Replica.ID
 	// A session whose home was seen to be full is spread for a while: others tell what
@@ -76,7 +76,7 @@
 	assert.InDelta(t, 1.55*4+2, pick(t, b, prompt(5), start).Bound, 1e-9)
 }
 
-func TestALineTellsEachReplica(t *testing.T) {
+func TestLineCountsCoverEachReplica(t *testing.T) {
 	list := largeFleet(2)
 	for i := range 10 {
 		list[0].RequestStarted(fmt.Sprintf("i-%d", i))
@@ -115,7 +115,7 @@
 
 // The same failure comes on several ways, later on some. It was taken for another
 // one when it came over 50 ms later, and went round and round on narrow links.
-func TestARumorThatCameTwiceIsNotPassedOnTwice(t *testing.T) {
+func TestDuplicateRumorIsForwardedOnce(t *testing.T) {
 	b := largeFleet(1)[0]
 	for _, late := range []time.Duration{0, 3 * time.Millisecond, 300 * time.Millisecond} {
 		seen := start.Add(late)
@@ -131,7 +131,7 @@
 	assert.True(t, b.Suspected("i-2", start.Add(20*time.Millisecond)))
 }
 
-func TestInALargeFleetOnlyWhatOthersCannotGuessIsTold(t *testing.T) {
+func TestLargeFleetAnnouncesOnlyUnexpectedHolders(t *testing.T) {
 	b := largeFleet(1)[0]
 	home := pick(t, b, prompt(5), start).Replica.ID
 	b.RequestSucceeded(home, prompt(5), start)
@@ -141,13 +141,13 @@
 	assert.Equal(t, []PartHolder{{prompt(5)[1].ID, ReplicaHash(second)}}, b.TakePeerUpdate(start).Holders)
 }
 
-func TestOldFailuresAreNotPassedOn(t *testing.T) {
+func TestOldFailuresAreNotForwarded(t *testing.T) {
 	b := largeFleet(1)[0]
 	b.MergePeer("other", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{ReplicaHash("i-2"), Refused, start.Add(-rumorLife - 1)}}}}, start)
 	assert.Empty(t, b.TakePeerUpdate(start).Failures)
 }
 
-func TestTheBoundFollowsWhatTheUsersAllow(t *testing.T) {
+func TestBoundFollowsLoadFactor(t *testing.T) {
 	for _, large := range []bool{false, true} {
 		b := newBalancer(engines(12))
 		b.SetLargeFleet(large)
--- a/pkg/balance/near_test.go
+++ b/pkg/balance/near_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestASmallPromptGoesElsewhereWhenItsDataCentreIsFullOrHasNoEngine(t *testing.T) {
+func TestSmallPromptLeavesFullOrEmptyDataCentre(t *testing.T) {
 	b := newBalancer(engines(12))
 	for _, id := range []string{"i-0", "i-3", "i-6", "i-9"} {
 		for range 9 {
@@ -69,7 +69,7 @@
 
 // Some never say that they drain: their entry goes, and they serve on for seconds.
 // What they held was read again elsewhere, though it could be copied.
-func TestAReplicaThatLeftTheListIsCopiedFromForAWhile(t *testing.T) {
+func TestUnlistedReplicaIsCopiedFromForAWhile(t *testing.T) {
 	list := engines(12)
 	b := newBalancer(list)
 	home := pickFrom(b, "dc0", prompt(5)).Replica
--- a/pkg/balance/opens_test.go
+++ b/pkg/balance/opens_test.go
@@ -9,7 +9,7 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-func TestWhenAReplicaIsToGetWorkAgain(t *testing.T) {
+func TestAvailableIn(t *testing.T) {
 	fail := func(ids ...string) func(*Balancer) {
 		return func(b *Balancer) {
 			for _, id := range ids {
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestADataCentreThatIsCutOffOpensWhenItIsTriedAgain(t *testing.T) {
+func TestAvailableInOfUnreachableDataCentre(t *testing.T) {
 	b := newBalancer(engines(6))
 	for _, id := range []string{"i-1", "i-4", "i-1"} {
 		b.RequestFailed(id, Unreachable, "dc0", start)
@@ -74,7 +74,7 @@
 	assert.Equal(t, 2*time.Second, in, "i-4 alone would be tried after one")
 }
 
-func TestAReplicaThatIsExcludedOpensNothing(t *testing.T) {
+func TestAvailableInSkipsExcludedReplicas(t *testing.T) {
 	b := newBalancer(engines(2))
 	b.RequestFailed("i-0", Refused, "dc0", start)
 	in, known := b.AvailableIn("llm", []string{"i-1"}, start)
--- a/pkg/balance/plain_test.go
+++ b/pkg/balance/plain_test.go
@@ -10,7 +10,7 @@
 // the other: each router took the one that all had been told was the least loaded,
 // a round of telling ago. In one second 398, 164 and 66 requests came to them, and
 // those that were full turned away 1,189 of 12,746 in the day.
-func TestALargeFleetDoesNotFillOneReplicaAfterTheOther(t *testing.T) {
+func TestLargeFleetSpreadsPlainRequests(t *testing.T) {
 	const routers = 300
 	told := PeerUpdate{Running: []ReplicaCount{{ReplicaHash("i-0"), 6}, {ReplicaHash("i-1"), 12}, {ReplicaHash("i-2"), 0}}}
 	got := make(map[string]int)
@@ -27,7 +27,7 @@
 	assert.Greater(t, got["i-1"], routers/20)
 }
 
-func TestALargeFleetPassesOverWhatItAvoids(t *testing.T) {
+func TestLargeFleetPassesOverAvoidedReplicas(t *testing.T) {
 	b := newBalancer(engines(3))
 	b.SetLargeFleet(true)
 	b.RequestFailed("i-0", Shed, "dc0", start)
--- a/pkg/balance/reach_test.go
+++ b/pkg/balance/reach_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestAServiceThatIsOutOfReachIsTriedNowAndThen(t *testing.T) {
+func TestUnreachableServiceIsProbed(t *testing.T) {
 	type step struct {
 		at       time.Duration
 		hopeless bool
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestADataCentreThatIsCutOffIsOutOfReachAsAWhole(t *testing.T) {
+func TestUnreachableDataCentreCoversAllItsReplicas(t *testing.T) {
 	list := engines(6)
 	for i := range list {
 		list[i].DataCentre = "dc1"
--- a/pkg/balance/rest_test.go
+++ b/pkg/balance/rest_test.go
@@ -11,7 +11,7 @@
 
 // Guards against a replica getting its whole share in the moment in which its rest ends,
 // and against it getting less for long.
-func TestTheShareOfAReplicaComesBackGraduallyAfterItsRest(t *testing.T) {
+func TestShareReturnsGraduallyAfterRest(t *testing.T) {
 	tests := map[string]struct {
 		parts []Part
 		after time.Duration
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -18,7 +18,7 @@
 // sharedPrompt is one with a shared part.
 func sharedPrompt() []Part { return []Part{{ID: 5, Tokens: 100}, {ID: 6, Tokens: 1}} }
 
-func TestNothingOfAnEarlierLifeIsKept(t *testing.T) {
+func TestRestartClearsReplicaState(t *testing.T) {
 	now := time.Now()
 	b := twoEngines(now)
 	b.RequestSucceeded("a", sharedPrompt(), now)
@@ -38,7 +38,7 @@
 	assert.Len(t, b.TakeRumors().Failures, 1, "what the list tells is no rumor")
 }
 
-func TestARestartReachesRoutersThatTheListDoesNotTell(t *testing.T) {
+func TestRestartIsGossiped(t *testing.T) {
 	now := time.Now()
 	reader, other := twoEngines(now), twoEngines(now)
 	other.RequestSucceeded("a", sharedPrompt(), now)
@@ -63,14 +63,14 @@
 }
 
 // Who knows nothing of restarts passes over a failure of a kind that it does not know.
-func TestAFailureOfAnUnknownKindChangesNothing(t *testing.T) {
+func TestUnknownFailureKindIsIgnored(t *testing.T) {
 	now := time.Now()
 	b := twoEngines(now)
 	b.MergeRumors(Rumors{Failures: []ObservedFailure{{ReplicaHash("a"), Restart + 1, now}}}, now)
 	assert.False(t, b.Suspected("a", now))
 }
 
-func TestWhatHasASpoiltEntryIsNeitherChosenNorCopiedFrom(t *testing.T) {
+func TestUnusableReplicaIsNeitherChosenNorCopiedFrom(t *testing.T) {
 	now := time.Now()
 	b := twoEngines(now)
 	b.RequestSucceeded("a", sharedPrompt(), now)
--- a/pkg/balance/spread_test.go
+++ b/pkg/balance/spread_test.go
@@ -33,7 +33,7 @@
 	return len(seen)
 }
 
-func TestASessionWhoseHomeIsFullIsSpreadForAWhile(t *testing.T) {
+func TestSessionWithFullHomeIsSpread(t *testing.T) {
 	b, home := full(t)
 	pick(t, b, prompt(5), start)
 	for range 20 {
@@ -45,7 +45,7 @@
 	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(spreadLife)).Replica.ID)
 }
 
-func TestThatASessionIsSpreadIsTold(t *testing.T) {
+func TestHotPartsAreGossiped(t *testing.T) {
 	b, _ := full(t)
 	pick(t, b, prompt(5), start)
 	pick(t, b, prompt(5), start)
@@ -69,7 +69,7 @@
 	assert.Equal(t, spreadMost, chosen(t, other, start), "as many as a part may have")
 }
 
-func TestASessionIsNotSpread(t *testing.T) {
+func TestSessionIsNotSpread(t *testing.T) {
 	t.Run("in a small fleet, where all know at once", func(t *testing.T) {
 		b, _ := full(t)
 		b.SetLargeFleet(false)
@@ -84,7 +84,7 @@
 }
 
 // More is seen than can be told, and some of it is told.
-func TestWhatIsSpreadIsToldWithinBounds(t *testing.T) {
+func TestGossipedHotPartsAreBounded(t *testing.T) {
 	b, _ := full(t)
 	for part := range uint64(5 * maxToldLarge) {
 		b.MergePeer("a", PeerUpdate{Rumors: Rumors{Hot: []HotPart{{Part: part, Homes: 2, At: start}}}}, start)
