--- a/pkg/balance/answered.go
+++ b/pkg/balance/answered.go
@@ -30,26 +30,26 @@
 		return false
 	}
 	doubted := r.health.failures > 0
-	r.health.succeeded(now)
-	b.own(r.Service).succeeded(now)
-	r.answered = now
-	if c := b.centres[r.DataCentre]; c != nil {
-		c.succeeded(now)
+	r.health.recordSuccess(now)
+	b.serviceOutcomes(r.Service).addSuccess(now)
+	r.lastSuccess = now
+	if c := b.centreHealth[r.DataCentre]; c != nil {
+		c.recordSuccess(now)
 	}
 	for _, part := range parts[:max(len(parts)-1, 0)] {
-		if !b.holders.holdsFresh(part.ID, id, now) && b.worthTelling(r, part.ID, parts) {
-			b.tellHolder(part.ID, r)
+		if !b.holders.heardRecently(part.ID, id, now) && b.shouldAnnounceHolder(r, part.ID, parts) {
+			b.queueHolder(part.ID, r)
 		}
-		b.holders.note(part.ID, id, now)
+		b.holders.add(part.ID, id, now)
 	}
 	return doubted && r.health.failures == 0
 }
 
-// worthTelling tells whether others can't guess that an engine holds a part. In
+// shouldAnnounceHolder tells whether others can't guess that an engine holds a part. In
 // a large fleet they take a prompt's last shared part to be at its first home,
 // and soon know some holder of an opening that many prompts share.
-func (b *Balancer) worthTelling(r *replica, part uint64, parts []Part) bool {
-	if !b.large {
+func (b *Balancer) shouldAnnounceHolder(r *replica, part uint64, parts []Part) bool {
+	if !b.largeFleet {
 		return true
 	}
 	if part != homeKey(parts) {
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -94,11 +94,11 @@
 // fleet). The parts are of their multiple, the slacks of the requests that they allow
 // above it.
 const (
-	boundPart        = 0.85
-	boundSlack       = 2.5
-	largeBoundPart   = 0.775
-	largeBoundSlack  = 2.0
-	leastBoundFactor = 1.05
+	boundFraction      = 0.85
+	boundSlack         = 2.5
+	largeBoundFraction = 0.775
+	largeBoundSlack    = 2.0
+	minBoundFactor     = 1.05
 	// defaultLoadFactor holds until SetLoadFactor.
 	defaultLoadFactor = 2
 )
@@ -108,89 +108,89 @@
 	mu       sync.Mutex
 	random   *rand.Rand
 	replicas map[string]*replica
-	// leavers are replicas that are listed no more but may still be copied from.
-	leavers  map[string]leaver
-	services map[string][]*replica
-	centres  map[string]*health
-	silent   map[string]bool
-	holders  *holders
-	hot      *hotParts
-	peers    map[string]peerCounts
+	// departed are replicas that are listed no more but may still be copied from.
+	departed      map[string]departedReplica
+	services      map[string][]*replica
+	centreHealth  map[string]*health
+	silentCentres map[string]bool
+	holders       *holders
+	hotParts      *hotPartCache
+	peers         map[string]peerCounts
 	// lines are the sums that other lines of a large fleet told.
 	lines map[Line]peerCounts
-	// totals sums up peers and lines, as of totalsAt.
-	totals   map[uint32]ReplicaCount
-	totalsAt time.Time
-	byHash   map[uint32]*replica
-	// bySingle are the replicas by the short hashes of LineTold.Singles.
-	bySingle map[uint16][]*replica
-	untold   Rumors
-	// listed is when the first list came.
-	listed time.Time
+	// peerTotals sums up peers and lines, as of totalsAt.
+	peerTotals   map[uint32]ReplicaCount
+	peerTotalsAt time.Time
+	byShortHash  map[uint32]*replica
+	// byTinyHash are the replicas by the short hashes of LineTold.Singles.
+	byTinyHash    map[uint16][]*replica
+	pendingRumors Rumors
+	// firstListedAt is when the first list came.
+	firstListedAt time.Time
 	// medians are the median paces of services.
 	medians map[string]median
-	// probed is when a service that is out of reach was last tried.
-	probed map[string]time.Time
+	// lastProbe is when a service that is out of reach was last tried.
+	lastProbe map[string]time.Time
 	// outcomes are how this router's own requests ended, by service.
-	outcomes map[string]*evidence
+	outcomes map[string]*outcomeCounts
 	// loadFactor is how many times the mean the users allow a replica.
 	loadFactor float64
-	// without are mechanisms that an experiment leaves out.
-	without mechanism.Set
-	// large: routers can't tell all others what they run. recalled: who holds
+	// disabled are mechanisms that an experiment leaves out.
+	disabled mechanism.Set
+	// largeFleet: routers can't tell all others what they run. holdersSynced: who holds
 	// what is known as well as it can be.
-	large, recalled bool
+	largeFleet, holdersSynced bool
 	// evacuated are the replicas of services that are left out with their data centre.
 	evacuated map[string][]*replica
 	cold      coldShares
-	ends      atomic.Pointer[ReplicaHooks]
-	// restartsToTell are those that a rumor told of, for ends.
-	restartsToTell []directory.Replica
+	hooks     atomic.Pointer[ReplicaHooks]
+	// pendingRestarts are those that a rumor told of, for ends.
+	pendingRestarts []directory.Replica
 }
 
 // replica is one replica with what was seen of it.
 type replica struct {
 	directory.Replica
-	hash    uint64
-	short   uint32
-	running int
-	joined  time.Time
-	report  report
-	health  health
-	pace    pace
+	rankHash  uint64
+	shortHash uint32
+	running   int
+	joinedAt  time.Time
+	report    loadReport
+	health    health
+	pace      pace
 	// allowance is what this router may send to the replica while it is cold.
-	allowance bucket
-	// bad counts the failures that speak against the replica only if they are more
+	allowance tokenBucket
+	// softOutcomes counts the failures that speak against the replica only if they are more
 	// than others have, as all routers saw them.
-	bad evidence
-	// answered is when it last answered well, hung when it last left a request
+	softOutcomes outcomeCounts
+	// lastSuccess is when it last lastSuccess well, lastHung when it last left a request
 	// without an answer.
-	answered, hung time.Time
+	lastSuccess, lastHung time.Time
 	// restUntil is the latest end of a rest that it asked for.
 	restUntil time.Time
-	// restarted is when it started again under its id, as far as this router saw.
-	restarted time.Time
+	// restartedAt is when it started again under its id, as far as this router saw.
+	restartedAt time.Time
 }
 
 // New returns a balancer without replicas. Its choices are a function of seed
 // and of what it is told.
 func New(seed uint64) *Balancer {
 	return &Balancer{
-		random:   rand.New(rand.NewPCG(seed, seed)),
-		replicas: make(map[string]*replica),
-		leavers:  make(map[string]leaver),
-		services: make(map[string][]*replica),
-		centres:  make(map[string]*health),
-		silent:   make(map[string]bool),
-		holders:  newHolders(),
-		hot:      newHotParts(),
-		peers:    make(map[string]peerCounts),
-		lines:    make(map[Line]peerCounts),
-		medians:  make(map[string]median),
-		outcomes: make(map[string]*evidence),
-		probed:   make(map[string]time.Time),
-		recalled: true,
-		cold:     coldShares{held: make(map[string]bool)},
+		random:        rand.New(rand.NewPCG(seed, seed)),
+		replicas:      make(map[string]*replica),
+		departed:      make(map[string]departedReplica),
+		services:      make(map[string][]*replica),
+		centreHealth:  make(map[string]*health),
+		silentCentres: make(map[string]bool),
+		holders:       newHolders(),
+		hotParts:      newHotPartCache(),
+		peers:         make(map[string]peerCounts),
+		lines:         make(map[Line]peerCounts),
+		medians:       make(map[string]median),
+		outcomes:      make(map[string]*outcomeCounts),
+		lastProbe:     make(map[string]time.Time),
+		holdersSynced: true,
+		cold:          coldShares{heldBack: make(map[string]bool)},
 
 		loadFactor: defaultLoadFactor,
 	}
@@ -201,7 +201,7 @@
 func (b *Balancer) SetLargeFleet(large bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.large = large
+	b.largeFleet = large
 }
 
 // SetLoadFactor sets how many times the mean of its service the users allow a
@@ -216,20 +216,20 @@
 func (b *Balancer) DisableMechanisms(set mechanism.Set) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.without = set
-	b.holders.off = set.Has(mechanism.Holders)
+	b.disabled = set
+	b.holders.disabled = set.Has(mechanism.Holders)
 }
 
 // SetHoldersSynced tells whether who holds what has been recalled since the start.
 func (b *Balancer) SetHoldersSynced(recalled bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.recalled = recalled
+	b.holdersSynced = recalled
 }
 
 // holdersUnknown tells whether there may be holders of parts that this router has not
 // heard of.
-func (b *Balancer) holdersUnknown() bool { return b.large || !b.recalled }
+func (b *Balancer) holdersUnknown() bool { return b.largeFleet || !b.holdersSynced }
 
 // Pick chooses a replica, or returns false if the service has none that is left.
 func (b *Balancer) Pick(q Request, now time.Time) (Choice, bool) {
@@ -239,25 +239,25 @@
 	if len(all) == 0 {
 		return Choice{}, false
 	}
-	bound := b.bound(q.Service, now)
+	bound := b.serviceBound(q.Service, now)
 	left := b.candidates(q, all, bound, now)
 	if len(left) == 0 {
 		return Choice{}, false
 	}
 	if len(q.Parts) == 0 {
 		chosen, reason := b.pickPlain(q, left, now)
-		reason = b.spend(chosen, q, reason, now)
-		return Choice{Replica: chosen.Replica, Reason: reason, Load: b.load(chosen, now), Bound: bound, Unreachable: b.hopeless(chosen, now)}, true
+		reason = b.spendColdAllowance(chosen, q, reason, now)
+		return Choice{Replica: chosen.Replica, Reason: reason, Load: b.load(chosen, now), Bound: bound, Unreachable: b.probePending(chosen, now)}, true
 	}
 	chosen, home, reason := b.pickEngine(q, left, bound, now)
-	reason = b.spend(chosen, q, reason, now)
-	choice := Choice{Replica: chosen.Replica, Reason: reason, Load: b.load(chosen, now), Bound: bound, Part: homeKey(q.Parts), Unreachable: b.hopeless(chosen, now)}
+	reason = b.spendColdAllowance(chosen, q, reason, now)
+	choice := Choice{Replica: chosen.Replica, Reason: reason, Load: b.load(chosen, now), Bound: bound, Part: homeKey(q.Parts), Unreachable: b.probePending(chosen, now)}
 	choice.Holders = len(b.holders.list(choice.Part, now))
 	if home != chosen {
 		choice.PassedOver, choice.PassedOverLoad, choice.PassedOverBadness = home.ID, b.load(home, now), b.badness(home, now)
 	}
-	if len(q.Parts) > 1 && !b.without.Has(mechanism.Copies) {
-		choice.CopySource = b.source(chosen, q.Parts, now)
+	if len(q.Parts) > 1 && !b.disabled.Has(mechanism.Copies) {
+		choice.CopySource = b.copySource(chosen, q.Parts, now)
 	}
 	return choice, true
 }
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -60,7 +60,7 @@
 	for n := range 240 {
 		c := pick(t, b, prompt(5), start)
 		mean := float64(n) / 12
-		assert.LessOrEqual(t, running[c.Replica.ID], boundPart*defaultLoadFactor*mean+boundSlack, "request %d to %s", n, c.Replica.ID)
+		assert.LessOrEqual(t, running[c.Replica.ID], boundFraction*defaultLoadFactor*mean+boundSlack, "request %d to %s", n, c.Replica.ID)
 		running[c.Replica.ID]++
 		b.RequestStarted(c.Replica.ID)
 	}
@@ -71,7 +71,7 @@
 	home := pick(t, b, prompt(5), start).Replica.ID
 	b.MergePeer("other", PeerUpdate{Running: []ReplicaCount{{Replica: ReplicaHash(home), Running: 9}}}, start)
 	assert.NotEqual(t, home, pick(t, b, prompt(5), start).Replica.ID)
-	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(2*peerLife)).Replica.ID, "old counts say nothing")
+	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(2*peerLifetime)).Replica.ID, "old counts say nothing")
 	b.MergePeer("other", PeerUpdate{Running: []ReplicaCount{{Replica: ReplicaHash(home), Running: 9}}}, start)
 	b.RemovePeer("other")
 	assert.Equal(t, home, pick(t, b, prompt(5), start).Replica.ID)
@@ -82,7 +82,7 @@
 	home := pick(t, b, prompt(5), start).Replica.ID
 	b.LoadReported(home, 30, start)
 	assert.NotEqual(t, home, pick(t, b, prompt(5), start).Replica.ID)
-	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(2*reportLife)).Replica.ID)
+	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(2*reportLifetime)).Replica.ID)
 }
 
 func TestPartsStayWithTheirHoldersWhenEnginesJoin(t *testing.T) {
@@ -151,14 +151,14 @@
 	var h health
 	now := start
 	for _, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 6 * time.Second, 6 * time.Second} {
-		h.failed(Refused, now)
-		assert.True(t, h.avoided(now.Add(want-time.Millisecond)))
-		assert.False(t, h.avoided(now.Add(want+time.Millisecond)))
+		h.recordFailure(Refused, now)
+		assert.True(t, h.isAvoided(now.Add(want-time.Millisecond)))
+		assert.False(t, h.isAvoided(now.Add(want+time.Millisecond)))
 		now = now.Add(want)
 	}
-	assert.True(t, h.avoided(now.Add(-time.Millisecond)))
+	assert.True(t, h.isAvoided(now.Add(-time.Millisecond)))
 	for range 20 {
-		h.succeeded(now.Add(time.Minute))
+		h.recordSuccess(now.Add(time.Minute))
 	}
 	assert.Zero(t, h.failures)
 }
@@ -190,7 +190,7 @@
 func TestASlowEngineIsPassedOver(t *testing.T) {
 	b := newBalancer(engines(6))
 	for i := range 6 {
-		for range paceSamples {
+		for range minPaceSamples {
 			took := 20 * time.Millisecond
 			if i == 2 {
 				took *= 8
@@ -258,7 +258,7 @@
 		before := pick(t, b, prompt(part), start).Replica
 		// The router knows of a holder of the opening, but not of one of the rest.
 		b.PartsReported("i-3", prompt(part)[:1], start)
-		joined := start.Add(settleTime + 1)
+		joined := start.Add(startupPeriod + 1)
 		b.SetReplicas(list, joined)
 		c := pick(t, b, prompt(part), joined)
 		if c.Replica.ID == before.ID {
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -21,14 +21,14 @@
 }
 
 const (
-	// coldViews is how many groups of routers may hold different ones for those that
+	// membershipViews is how many groups of routers may hold different ones for those that
 	// may send to a cold replica: before and after a change of the members, or on both
 	// sides of a cut. Each group takes its part of the users' bound.
-	coldViews = 2
-	// settleRouters is for how long after its start a router sends nothing to cold
+	membershipViews = 2
+	// membershipSettleTime is for how long after its start a router sends nothing to cold
 	// replicas, since it does not know the others: twice what the members take to be
 	// told after a start.
-	settleRouters = 4 * time.Second
+	membershipSettleTime = 4 * time.Second
 	// coldBurst is what a router may save up for a cold replica, in requests.
 	coldBurst = 1
 )
@@ -39,27 +39,27 @@
 	// own and others are the hashes of the routers' addresses.
 	own    uint64
 	others []uint64
-	// since is when the routers were first told.
-	since time.Time
-	// held are the services whose cold replicas are held back.
-	held map[string]bool
+	// knownSince is when the routers were first told.
+	knownSince time.Time
+	// heldBack are the services whose cold replicas are heldBack back.
+	heldBack map[string]bool
 }
 
-// bucket holds requests that may be sent, up to coldBurst.
-type bucket struct {
-	spent float64
-	at    time.Time
+// tokenBucket holds requests that may be sent, up to coldBurst.
+type tokenBucket struct {
+	spent     float64
+	updatedAt time.Time
 }
 
-// left returns the requests that may be sent at a time, at a rate a second.
-func (u *bucket) left(rate float64, now time.Time) float64 {
-	return coldBurst - max(u.spent-rate*now.Sub(u.at).Seconds(), 0)
+// available returns the requests that may be sent at a time, at a rate a second.
+func (u *tokenBucket) available(rate float64, now time.Time) float64 {
+	return coldBurst - max(u.spent-rate*now.Sub(u.updatedAt).Seconds(), 0)
 }
 
-// spend takes one request.
-func (u *bucket) spend(rate float64, now time.Time) {
-	u.spent = coldBurst - u.left(rate, now) + 1
-	u.at = now
+// take takes one request.
+func (u *tokenBucket) take(rate float64, now time.Time) {
+	u.spent = coldBurst - u.available(rate, now) + 1
+	u.updatedAt = now
 }
 
 // SetColdBounds sets what the users allow to be sent to cold replicas.
@@ -73,42 +73,42 @@
 func (b *Balancer) SetRouters(own string, known []string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.cold.since.IsZero() {
-		b.cold.since = now
+	if b.cold.knownSince.IsZero() {
+		b.cold.knownSince = now
 	}
-	b.cold.own = hashText(own)
+	b.cold.own = hashString(own)
 	b.cold.others = b.cold.others[:0]
 	for _, address := range known {
 		if address != own {
-			b.cold.others = append(b.cold.others, hashText(address))
+			b.cold.others = append(b.cold.others, hashString(address))
 		}
 	}
 }
 
-// senders is how many routers may send to one cold replica.
-func (c *coldShares) senders() int {
-	most := max(int(c.bounds.Allowance/(coldViews*coldBurst)), 1)
+// senderCount is how many routers may send to one cold replica.
+func (c *coldShares) senderCount() int {
+	most := max(int(c.bounds.Allowance/(membershipViews*coldBurst)), 1)
 	return min(most, len(c.others)+1)
 }
 
 // rate is what one of them may send in a second.
 func (c *coldShares) rate(bears float64) float64 {
-	return bears * c.bounds.Overage / float64(coldViews*c.senders())
+	return bears * c.bounds.Overage / float64(membershipViews*c.senderCount())
 }
 
-// sends tells whether this router is one of those that may send to a cold replica.
-func (c *coldShares) sends(r *replica, now time.Time) bool {
-	if c.since.IsZero() || now.Sub(c.since) < settleRouters {
+// isSender tells whether this router is one of those that may send to a cold replica.
+func (c *coldShares) isSender(r *replica, now time.Time) bool {
+	if c.knownSince.IsZero() || now.Sub(c.knownSince) < membershipSettleTime {
 		return false
 	}
 	before := 0
-	own := mix(c.own ^ r.hash)
+	own := mixBits(c.own ^ r.rankHash)
 	for _, other := range c.others {
-		if mix(other^r.hash) > own {
+		if mixBits(other^r.rankHash) > own {
 			before++
 		}
 	}
-	return before < c.senders()
+	return before < c.senderCount()
 }
 
 // isCold tells whether a replica bears less than a warm one.
@@ -125,37 +125,37 @@
 		switch {
 		case slices.Contains(q.Tried, r.ID):
 		case isCold(r.Replica, q, now):
-			b.cold.held[q.Service] = true
+			b.cold.heldBack[q.Service] = true
 			cold = append(cold, r)
 		default:
 			left = append(left, r)
 		}
 	}
-	hasRoom := func(r *replica) bool { return b.fits(r, bound, now) }
+	hasRoom := func(r *replica) bool { return b.isEligible(r, bound, now) }
 	if len(cold) == 0 || slices.ContainsFunc(left, hasRoom) {
 		return left
 	}
 	rate := b.cold.rate(q.ColdRate)
 	for _, r := range cold {
-		if r.allowance.left(rate, now) >= 1 && b.cold.sends(r, now) {
+		if r.allowance.available(rate, now) >= 1 && b.cold.isSender(r, now) {
 			left = append(left, r)
 		}
 	}
 	return left
 }
 
-// spend takes a request from the allowance of a chosen replica that is cold, and
+// spendColdAllowance takes a request from the allowance of a chosen replica that is cold, and
 // returns the reason of the choice.
-func (b *Balancer) spend(chosen *replica, q Request, reason Reason, now time.Time) Reason {
+func (b *Balancer) spendColdAllowance(chosen *replica, q Request, reason Reason, now time.Time) Reason {
 	if !isCold(chosen.Replica, q, now) {
 		return reason
 	}
-	chosen.allowance.spend(b.cold.rate(q.ColdRate), now)
+	chosen.allowance.take(b.cold.rate(q.ColdRate), now)
 	return Cold
 }
 
-// strainedPart is the part of the replicas beyond which idle ones strain the others.
-const strainedPart = 0.1
+// maxIdleFraction is the part of the replicas beyond which idle ones strain the others.
+const maxIdleFraction = 0.1
 
 // CapacityReduced tells whether many replicas are idle, being evacuated or held back while they
 // are cold, so that the others are nearer to the users' bound: routers are to know sooner
@@ -165,9 +165,9 @@
 	defer b.mu.Unlock()
 	idle := 0
 	for _, r := range b.replicas {
-		if r.Evacuated || b.cold.held[r.Service] && now.Before(r.ColdUntil) {
+		if r.Evacuated || b.cold.heldBack[r.Service] && now.Before(r.ColdUntil) {
 			idle++
 		}
 	}
-	return float64(idle) > strainedPart*float64(len(b.replicas))
+	return float64(idle) > maxIdleFraction*float64(len(b.replicas))
 }
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -37,7 +37,7 @@
 
 // settled returns a router's balancer that has known the others for long.
 func settled(list []directory.Replica, own string, known []string) *Balancer {
-	b := New(hashText(own))
+	b := New(hashString(own))
 	b.SetColdBounds(coldBounds)
 	b.SetRouters(own, known, start.Add(-time.Hour))
 	b.SetReplicas(list, start)
@@ -175,9 +175,9 @@
 	_, found := b.Pick(question(1), start)
 	assert.False(t, found, "nobody said which routers there are")
 	b.SetRouters("a", []string{"a"}, start)
-	_, found = b.Pick(question(1), start.Add(settleRouters-time.Millisecond))
+	_, found = b.Pick(question(1), start.Add(membershipSettleTime-time.Millisecond))
 	assert.False(t, found, "it may not know the others")
-	_, found = b.Pick(question(1), start.Add(settleRouters))
+	_, found = b.Pick(question(1), start.Add(membershipSettleTime))
 	assert.True(t, found)
 }
 
@@ -192,7 +192,7 @@
 		{ColdBounds{2, 20}, 10, 0.96},
 	} {
 		shares := coldShares{bounds: c.bounds, others: make([]uint64, 77)}
-		assert.Equal(t, c.senders, shares.senders())
+		assert.Equal(t, c.senders, shares.senderCount())
 		assert.InDelta(t, c.rate, shares.rate(coldRate), 1e-9)
 	}
 }
@@ -245,7 +245,7 @@
 			}
 			c, found := b.Pick(question(1), start)
 			require.True(t, found)
-			assert.InDelta(t, boundPart*defaultLoadFactor*6+boundSlack, c.Bound, 1e-9, "54 requests at 9 replicas")
+			assert.InDelta(t, boundFraction*defaultLoadFactor*6+boundSlack, c.Bound, 1e-9, "54 requests at 9 replicas")
 		})
 	}
 }
--- a/pkg/balance/engine.go
+++ b/pkg/balance/engine.go
@@ -9,8 +9,8 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// shared returns the parts of a prompt that other requests have too.
-func shared(parts []Part) []Part {
+// sharedParts returns the parts of a prompt that other requests have too.
+func sharedParts(parts []Part) []Part {
 	if len(parts) > 1 {
 		return parts[:len(parts)-1]
 	}
@@ -19,16 +19,16 @@
 
 // homeKey names what a prompt's home is chosen by: its last shared part.
 func homeKey(parts []Part) uint64 {
-	parts = shared(parts)
+	parts = sharedParts(parts)
 	return parts[len(parts)-1].ID
 }
 
 // homeRank is the weight of an engine for a part. The highest is its home.
-func homeRank(r *replica, key uint64) uint64 { return mix(r.hash ^ key) }
+func homeRank(r *replica, key uint64) uint64 { return mixBits(r.rankHash ^ key) }
 
-// firstByHome returns the engine that comes first for a part, highest random
+// firstByRank returns the engine that comes first for a part, highest random
 // weight first, of those that are wanted, or nil. Wanted is asked of few.
-func firstByHome(list []*replica, key uint64, wanted func(*replica) bool) *replica {
+func firstByRank(list []*replica, key uint64, wanted func(*replica) bool) *replica {
 	var first *replica
 	var rank uint64
 	for _, r := range list {
@@ -50,15 +50,15 @@
 // spread over all of them by load alone would have to be copied or read again.
 func (b *Balancer) pickEngine(q Request, left []*replica, bound float64, now time.Time) (chosen, home *replica, reason Reason) {
 	key := homeKey(q.Parts)
-	home = firstByHome(left, key, func(*replica) bool { return true })
-	fits := func(r *replica) bool { return b.fits(r, bound, now) }
+	home = firstByRank(left, key, func(*replica) bool { return true })
+	fits := func(r *replica) bool { return b.isEligible(r, bound, now) }
 	lastResort := !slices.ContainsFunc(left, fits)
 	if lastResort {
-		left = b.leastBadGroup(left, now)
-		if b.without.Has(mechanism.LastResort) {
+		left = b.leastBadEngines(left, now)
+		if b.disabled.Has(mechanism.LastResort) {
 			return b.leastLoaded(left, now), home, LastResort
 		}
-		own := b.boundOver(left, now)
+		own := b.boundAmong(left, now)
 		fits = func(r *replica) bool { return b.load(r, now) < own }
 	}
 	var near []*replica
@@ -67,32 +67,32 @@
 			near = append(near, r)
 		}
 	}
-	chosen, held := b.firstOf(near, key, fits, bound, now)
-	if (held || chosen != nil && keptNear(q.Parts)) && !b.without.Has(mechanism.Near) {
+	chosen, held := b.pickHolderOrHome(near, key, fits, bound, now)
+	if (held || chosen != nil && keptPerDataCentre(q.Parts)) && !b.disabled.Has(mechanism.Near) {
 		return chosen, home, reasonFor(chosen, home, Near, lastResort)
 	}
-	chosen, held = b.firstOf(left, key, fits, bound, now)
+	chosen, held = b.pickHolderOrHome(left, key, fits, bound, now)
 	if held {
 		return chosen, home, reasonFor(chosen, home, Holder, lastResort)
 	}
 	return chosen, home, reasonFor(chosen, home, Diverted, lastResort)
 }
 
-// firstOf returns the first engine that fits and is known to hold a part, else the
+// pickHolderOrHome returns the first engine that fits and is known to hold a part, else the
 // first one that fits, or nil; or one of the next ones, if the part is spread. held
 // tells whether a holder was found.
 //
 // A part of which no holder is known goes to its first home only: at a second one
 // it would be read again, which costs more than waiting for the first reading.
-func (b *Balancer) firstOf(list []*replica, key uint64, fits func(*replica) bool, bound float64, now time.Time) (first *replica, held bool) {
-	first = firstByHome(list, key, func(r *replica) bool {
+func (b *Balancer) pickHolderOrHome(list []*replica, key uint64, fits func(*replica) bool, bound float64, now time.Time) (first *replica, held bool) {
+	first = firstByRank(list, key, func(r *replica) bool {
 		return b.holders.holds(key, r.ID, now) && fits(r)
 	})
 	held = first != nil
 	if !held {
-		first = firstByHome(list, key, fits)
+		first = firstByRank(list, key, fits)
 	}
-	return b.spread(list, key, fits, first, bound, now), held
+	return b.pickAmongHomes(list, key, fits, first, bound, now), held
 }
 
 // leastLoaded returns the replica with the least load.
@@ -114,8 +114,8 @@
 	return other
 }
 
-// leastBadGroup returns the replicas that are the least to be avoided.
-func (b *Balancer) leastBadGroup(list []*replica, now time.Time) []*replica {
+// leastBadEngines returns the replicas that are the least to be avoided.
+func (b *Balancer) leastBadEngines(list []*replica, now time.Time) []*replica {
 	var group []*replica
 	least := math.MaxInt
 	for _, r := range list {
@@ -130,19 +130,19 @@
 	return group
 }
 
-func (b *Balancer) fits(r *replica, bound float64, now time.Time) bool {
-	return !b.suspect(r, now) && b.load(r, now) < bound
+func (b *Balancer) isEligible(r *replica, bound float64, now time.Time) bool {
+	return !b.isSuspect(r, now) && b.load(r, now) < bound
 }
 
-// source returns where an engine can copy what it lacks of a prompt's shared
+// copySource returns where an engine can copy what it lacks of a prompt's shared
 // parts from, or an empty text where there is nothing to copy.
-func (b *Balancer) source(chosen *replica, parts []Part, now time.Time) string {
-	parts = shared(parts)
+func (b *Balancer) copySource(chosen *replica, parts []Part, now time.Time) string {
+	parts = sharedParts(parts)
 	last := len(parts) - 1
 	if b.holders.holds(parts[last].ID, chosen.ID, now) {
 		return ""
 	}
-	if r := b.holderOtherThan(chosen, parts[last].ID, now); r != nil {
+	if r := b.otherHolder(chosen, parts[last].ID, now); r != nil {
 		return r.Address
 	}
 	// No holder is known, though there may be one. The first home is the likely
@@ -150,7 +150,7 @@
 	// ago.
 	likely := b.likelyHolder(chosen, parts[last].ID, now)
 	isFirstHome := likely == nil || homeRank(chosen, parts[last].ID) > homeRank(likely, parts[last].ID)
-	if likely != nil && (b.holdersUnknown() && !isFirstHome || chosen.isNew(now)) {
+	if likely != nil && (b.holdersUnknown() && !isFirstHome || chosen.joinedRecently(now)) {
 		return likely.Address
 	}
 	// The part is new to all, it seems: what comes before it may be there.
@@ -158,7 +158,7 @@
 		if b.holders.holds(parts[i].ID, chosen.ID, now) {
 			return ""
 		}
-		if r := b.holderOtherThan(chosen, parts[i].ID, now); r != nil {
+		if r := b.otherHolder(chosen, parts[i].ID, now); r != nil {
 			return r.Address
 		}
 	}
@@ -168,12 +168,12 @@
 	return likely.Address
 }
 
-// holderOtherThan returns the engine that was last known to read a part, other
+// otherHolder returns the engine that was last known to read a part, other
 // than one and within reach, or nil. Those that are listed come first.
-func (b *Balancer) holderOtherThan(chosen *replica, part uint64, now time.Time) *replica {
+func (b *Balancer) otherHolder(chosen *replica, part uint64, now time.Time) *replica {
 	var left *replica
 	for _, id := range b.holders.list(part, now) {
-		r := b.copySource(id, now)
+		r := b.copyableReplica(id, now)
 		switch {
 		case r == nil || r == chosen:
 		case b.replicas[id] != nil:
@@ -194,15 +194,15 @@
 		if r == chosen || r.Service != chosen.Service {
 			continue
 		}
-		if own := homeRank(r, part); (first == nil || own > rank) && !b.unreachable(r, now) {
+		if own := homeRank(r, part); (first == nil || own > rank) && !b.isUnreachable(r, now) {
 			first, rank = r, own
 		}
 	}
 	return first
 }
 
-// unreachable tells whether a replica can't even be copied from: badness is at least
+// isUnreachable tells whether a replica can't even be copied from: badness is at least
 // badUnreachable, which is asked of all replicas of a service for each choice.
-func (b *Balancer) unreachable(r *replica, now time.Time) bool {
-	return r.health.kind >= Refused && r.health.avoided(now) || b.cutOff(r.DataCentre, now)
+func (b *Balancer) isUnreachable(r *replica, now time.Time) bool {
+	return r.health.kind >= Refused && r.health.isAvoided(now) || b.isCutOff(r.DataCentre, now)
 }
--- a/pkg/balance/enginefleet_test.go
+++ b/pkg/balance/enginefleet_test.go
@@ -249,8 +249,8 @@
 		session = 0
 	}
 	parts := []Part{
-		{ID: mix(uint64(kind+1)<<32 | uint64(session%k.openings)), Tokens: k.opening},
-		{ID: mix(uint64(kind+1)<<40 | uint64(session)), Tokens: k.session},
+		{ID: mixBits(uint64(kind+1)<<32 | uint64(session%k.openings)), Tokens: k.opening},
+		{ID: mixBits(uint64(kind+1)<<40 | uint64(session)), Tokens: k.session},
 		{ID: f.random.Uint64(), Tokens: k.prompt},
 	}
 	f.stats.asked++
--- a/pkg/balance/evidence_test.go
+++ b/pkg/balance/evidence_test.go
@@ -41,8 +41,8 @@
 	serve(b, 12, 10, start)
 	b.RequestFailed("i-4", Broke, "dc0", start)
 	assert.False(t, b.Suspected("i-4", start))
-	b.RequestFailed("i-4", Errored, "dc0", start.Add(3*evidenceLife))
-	assert.False(t, b.Suspected("i-4", start.Add(3*evidenceLife)), "the first is forgotten")
+	b.RequestFailed("i-4", Errored, "dc0", start.Add(3*outcomeDecayTime))
+	assert.False(t, b.Suspected("i-4", start.Add(3*outcomeDecayTime)), "the first is forgotten")
 }
 
 func TestFailureCommonToAllIsIgnored(t *testing.T) {
@@ -53,8 +53,8 @@
 		// Interleaved, so that all rise together as in a fault of the whole service.
 		for range 2 {
 			for i := range 12 {
-				b.own("llm").failed(start)
-				b.replicas[fmt.Sprintf("i-%d", i)].bad.failed(start)
+				b.serviceOutcomes("llm").addFailure(start)
+				b.replicas[fmt.Sprintf("i-%d", i)].softOutcomes.addFailure(start)
 			}
 		}
 		b.RequestFailed("i-4", Errored, "dc0", start)
@@ -92,7 +92,7 @@
 	b.SetLargeFleet(true)
 	serve(b, 12, 1, start)
 	for range 8 {
-		b.own("llm").failed(start)
+		b.serviceOutcomes("llm").addFailure(start)
 	}
 	b.RequestFailed("i-4", Errored, "dc0", start)
 	assert.Empty(t, b.TakePeerUpdate(start).Failures)
--- a/pkg/balance/health.go
+++ b/pkg/balance/health.go
@@ -32,11 +32,11 @@
 	return [...]string{"shed", "errored", "broke", "hung", "refused", "unreachable", "restart"}[f]
 }
 
-// soft tells whether sound replicas show the failure too, now and then.
-func (f Failure) soft() bool { return f == Errored || f == Broke }
+// isSoft tells whether sound replicas show the failure too, now and then.
+func (f Failure) isSoft() bool { return f == Errored || f == Broke }
 
-// base is how long a replica is avoided after one failure of the kind.
-func (f Failure) base() time.Duration {
+// baseAvoidance is how long a replica is avoided after one failure of the kind.
+func (f Failure) baseAvoidance() time.Duration {
 	switch f {
 	case Shed:
 		return 150 * time.Millisecond
@@ -47,12 +47,12 @@
 }
 
 const (
-	// longestSuspicion bounds the doubling for repeated failures.
-	longestSuspicion = 6 * time.Second
-	// forgetAfter is the quiet time after which earlier failures don't count.
-	forgetAfter = 8 * time.Second
-	// forgiveStreak is how many good answers in a row clear earlier failures.
-	forgiveStreak = 3
+	// maxAvoidance bounds the doubling for repeated failures.
+	maxAvoidance = 6 * time.Second
+	// failureResetTime is the quiet time after which earlier failures don't count.
+	failureResetTime = 8 * time.Second
+	// recoveryStreak is how many good answers in a row clear earlier failures.
+	recoveryStreak = 3
 	// maxDoublings keeps the shift small.
 	maxDoublings = 5
 )
@@ -63,47 +63,47 @@
 //	time is over     -> tried again
 //	good answers     -> trusted again
 type health struct {
-	failures int
-	good     int
-	until    time.Time
-	last     time.Time
-	kind     Failure
+	failures    int
+	streak      int
+	avoidUntil  time.Time
+	lastFailure time.Time
+	kind        Failure
 }
 
-// failed notes a failure at a time, which may lie before the last one if another
+// recordFailure notes a failure at a time, which may lie before the last one if another
 // router saw it.
-func (h *health) failed(kind Failure, now time.Time) {
-	if now.Sub(h.last) > forgetAfter {
+func (h *health) recordFailure(kind Failure, now time.Time) {
+	if now.Sub(h.lastFailure) > failureResetTime {
 		h.failures = 0
 	}
-	pause := min(kind.base()<<min(h.failures, maxDoublings), longestSuspicion)
-	if until := now.Add(pause); until.After(h.until) {
-		h.until = until
+	pause := min(kind.baseAvoidance()<<min(h.failures, maxDoublings), maxAvoidance)
+	if until := now.Add(pause); until.After(h.avoidUntil) {
+		h.avoidUntil = until
 	}
 	if kind != Shed {
 		h.failures++
 	}
-	if now.Before(h.last) {
+	if now.Before(h.lastFailure) {
 		return
 	}
-	h.good = 0
-	h.last = now
+	h.streak = 0
+	h.lastFailure = now
 	h.kind = kind
 }
 
-func (h *health) succeeded(now time.Time) {
-	h.good++
-	if h.failures > 0 && (h.good >= forgiveStreak || now.After(h.until)) {
+func (h *health) recordSuccess(now time.Time) {
+	h.streak++
+	if h.failures > 0 && (h.streak >= recoveryStreak || now.After(h.avoidUntil)) {
 		h.failures--
-		h.good = 0
+		h.streak = 0
 	}
 }
 
-// avoided tells whether the replica is to get no work.
-func (h *health) avoided(now time.Time) bool { return now.Before(h.until) }
+// isAvoided tells whether the replica is to get no work.
+func (h *health) isAvoided(now time.Time) bool { return now.Before(h.avoidUntil) }
 
-// suspect tells whether a replica is to be passed over while others are left.
-func (b *Balancer) suspect(r *replica, now time.Time) bool {
+// isSuspect tells whether a replica is to be passed over while others are left.
+func (b *Balancer) isSuspect(r *replica, now time.Time) bool {
 	return b.badness(r, now) > 0
 }
 
@@ -118,28 +118,28 @@
 // badness orders replicas that should be avoided: 0 is sound.
 func (b *Balancer) badness(r *replica, now time.Time) int {
 	bad := 0
-	if b.slow(r, now) || r.resumes(now) {
+	if b.isSlow(r, now) || r.atResumeLimit(now) {
 		bad = badSlow
 	}
-	if r.health.avoided(now) {
+	if r.health.isAvoided(now) {
 		bad = badFailing
 		if r.health.kind >= Refused {
 			bad = badAbsent
 		}
 	}
-	if b.cutOff(r.DataCentre, now) {
+	if b.isCutOff(r.DataCentre, now) {
 		bad = max(bad, badUnreachable)
 	}
 	return bad
 }
 
-// cutOff tells whether a data centre can't be reached, as it seems.
-func (b *Balancer) cutOff(centre string, now time.Time) bool {
-	if b.silent[centre] {
+// isCutOff tells whether a data centre can't be reached, as it seems.
+func (b *Balancer) isCutOff(centre string, now time.Time) bool {
+	if b.silentCentres[centre] {
 		return true
 	}
-	c := b.centres[centre]
-	return c != nil && c.avoided(now)
+	c := b.centreHealth[centre]
+	return c != nil && c.isAvoided(now)
 }
 
 // RequestFailed notes a failure at a replica. A replica in another data centre that
@@ -151,74 +151,74 @@
 	if r == nil {
 		return
 	}
-	if kind.soft() {
-		b.own(r.Service).failed(now)
+	if kind.isSoft() {
+		b.serviceOutcomes(r.Service).addFailure(now)
 	}
-	taken, speaks := b.doubt(r, kind, now)
+	taken, speaks := b.recordFailure(r, kind, now)
 	switch {
-	case !b.large:
+	case !b.largeFleet:
 		// All others judge it by what they have seen and heard themselves.
-		b.tellFailure(r, kind, now)
+		b.queueFailure(r, kind, now)
 	case speaks:
-		b.tellFailure(r, taken, now)
+		b.queueFailure(r, taken, now)
 	}
 	if kind == Unreachable && r.DataCentre != ownDataCentre {
-		b.centreUnreachable(r.DataCentre, now)
+		b.checkUnreachableCentre(r.DataCentre, now)
 	}
 }
 
 const (
-	// aliveLook is how far back an answer shows that a replica was there while it
+	// recentSuccessWindow is how far back an answer shows that a replica was there while it
 	// left another request unanswered: less than it takes until that is noted.
-	aliveLook = 500 * time.Millisecond
-	// hungLook is within what time two requests without an answer, and none with one
+	recentSuccessWindow = 500 * time.Millisecond
+	// hangWindow is within what time two requests without an answer, and none with one
 	// in between, show that a replica hangs. One alone is an answer that was lost.
-	hungLook = 2 * time.Second
+	hangWindow = 2 * time.Second
 )
 
-// hangs tells whether a request that was left without an answer shows that the
-// replica hangs, and not just that one answer was lost.
-func (r *replica) hangs(at time.Time) bool {
-	before := r.hung
-	r.hung = at
-	return !r.answered.After(at.Add(-aliveLook)) && at.Sub(before) < hungLook && !r.answered.After(before)
+// confirmsHang tells whether a request that was left without an answer shows that the
+// replica confirmsHang, and not just that one answer was lost.
+func (r *replica) confirmsHang(at time.Time) bool {
+	before := r.lastHung
+	r.lastHung = at
+	return !r.lastSuccess.After(at.Add(-recentSuccessWindow)) && at.Sub(before) < hangWindow && !r.lastSuccess.After(before)
 }
 
-// doubt takes a failure that this router or another one saw at a time, and returns what it is
+// recordFailure takes a failure that this router or another one saw at a time, and returns what it is
 // taken for, and whether it speaks against the replica.
-func (b *Balancer) doubt(r *replica, kind Failure, at time.Time) (taken Failure, speaks bool) {
-	if kind == Hung && !b.without.Has(mechanism.Evidence) && !r.hangs(at) {
+func (b *Balancer) recordFailure(r *replica, kind Failure, at time.Time) (taken Failure, speaks bool) {
+	if kind == Hung && !b.disabled.Has(mechanism.Evidence) && !r.confirmsHang(at) {
 		kind = Broke
 	}
-	if kind.soft() && !b.without.Has(mechanism.Evidence) {
-		r.bad.failed(at)
-		if !b.speaks(r, at) {
+	if kind.isSoft() && !b.disabled.Has(mechanism.Evidence) {
+		r.softOutcomes.addFailure(at)
+		if !b.isOutlier(r, at) {
 			return kind, false
 		}
 	}
-	r.health.failed(kind, at)
+	r.health.recordFailure(kind, at)
 	return kind, true
 }
 
-// centreUnreachable avoids a data centre once two of its replicas could not be
+// checkUnreachableCentre avoids a data centre once two of its replicas could not be
 // reached within a moment.
-func (b *Balancer) centreUnreachable(name string, now time.Time) {
+func (b *Balancer) checkUnreachableCentre(name string, now time.Time) {
 	const moment = 2 * time.Second
 	unreachable := 0
 	for _, r := range b.replicas {
-		if r.DataCentre == name && r.health.kind == Unreachable && now.Sub(r.health.last) < moment && r.health.failures > 0 {
+		if r.DataCentre == name && r.health.kind == Unreachable && now.Sub(r.health.lastFailure) < moment && r.health.failures > 0 {
 			unreachable++
 		}
 	}
 	if unreachable < 2 {
 		return
 	}
-	c := b.centres[name]
+	c := b.centreHealth[name]
 	if c == nil {
 		c = &health{}
-		b.centres[name] = c
+		b.centreHealth[name] = c
 	}
-	c.failed(Unreachable, now)
+	c.recordFailure(Unreachable, now)
 }
 
 // SetCentreSilent notes whether the routers of a data centre were heard, and tells
@@ -227,10 +227,10 @@
 func (b *Balancer) SetCentreSilent(name string, silent bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.silent[name] == silent || b.without.Has(mechanism.Silence) {
+	if b.silentCentres[name] == silent || b.disabled.Has(mechanism.Silence) {
 		return false
 	}
-	b.silent[name] = silent
+	b.silentCentres[name] = silent
 	return true
 }
 
@@ -239,5 +239,5 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.replicas[id]
-	return r != nil && b.suspect(r, now)
+	return r != nil && b.isSuspect(r, now)
 }
--- a/pkg/balance/lines.go
+++ b/pkg/balance/lines.go
@@ -23,9 +23,9 @@
 	}
 	for _, r := range b.replicas {
 		if r.running > 0 {
-			own := sums[r.short]
+			own := sums[r.shortHash]
 			own.Running += r.running
-			sums[r.short] = own
+			sums[r.shortHash] = own
 		}
 	}
 	var told LineCounts
@@ -47,12 +47,12 @@
 	b.mu.Lock()
 	counts := newPeerCounts(told.Counts, now)
 	for _, single := range told.Singles {
-		for _, r := range b.bySingle[single] {
-			counts.running[r.short] = ReplicaCount{Replica: r.short, Running: 1}
+		for _, r := range b.byTinyHash[single] {
+			counts.running[r.shortHash] = ReplicaCount{Replica: r.shortHash, Running: 1}
 		}
 	}
 	b.lines[line] = counts
-	b.totals = nil
+	b.peerTotals = nil
 	b.mergeRumors(rumors, now)
-	b.unlockAndTell()
+	b.unlockAndNotify()
 }
--- a/pkg/balance/load.go
+++ b/pkg/balance/load.go
@@ -7,67 +7,67 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// report is what a replica told of its load.
-type report struct {
+// loadReport is what a replica told of its load.
+type loadReport struct {
 	load float64
 	// running is the own count when the report came.
 	running int
 	at      time.Time
 }
 
-// reportLife is how long a report says something: engines report with a lag,
+// reportLifetime is how long a report says something: engines report with a lag,
 // and a request lasts about as long.
-const reportLife = 400 * time.Millisecond
+const reportLifetime = 400 * time.Millisecond
 
 // load estimates the requests at a replica, of all routers.
 func (b *Balancer) load(r *replica, now time.Time) float64 {
-	load := float64(r.running + b.others(r.short, now).Running)
-	if now.Sub(r.report.at) < reportLife {
+	load := float64(r.running + b.peerCount(r.shortHash, now).Running)
+	if now.Sub(r.report.at) < reportLifetime {
 		load = max(load, r.report.load+float64(r.running-r.report.running))
 	}
 	return load
 }
 
-// bound is the load up to which a replica of a service gets further requests.
+// serviceBound is the load up to which a replica of a service gets further requests.
 // Those that can't be reached carry none of what this router sends, so the mean
 // is that of the others. The users' mean is of all replicas, those included to which
 // nothing is sent while they are evacuated or cold: the others are held to it.
-func (b *Balancer) bound(service string, now time.Time) float64 {
+func (b *Balancer) serviceBound(service string, now time.Time) float64 {
 	all := b.services[service]
 	total, reached := 0.0, 0
 	for _, list := range [][]*replica{all, b.evacuated[service]} {
 		for _, r := range list {
-			if !b.unreachable(r, now) {
+			if !b.isUnreachable(r, now) {
 				total += b.load(r, now)
 				reached++
 			}
 		}
 	}
 	if reached == 0 {
-		return b.boundOver(all, now)
+		return b.boundAmong(all, now)
 	}
-	return b.boundOf(total / float64(reached))
+	return b.boundForMean(total / float64(reached))
 }
 
-// boundOver is the bound within some replicas.
-func (b *Balancer) boundOver(list []*replica, now time.Time) float64 {
+// boundAmong is the bound within some replicas.
+func (b *Balancer) boundAmong(list []*replica, now time.Time) float64 {
 	total := 0.0
 	for _, r := range list {
 		total += b.load(r, now)
 	}
-	return b.boundOf(total / float64(len(list)))
+	return b.boundForMean(total / float64(len(list)))
 }
 
-// boundOf is the bound for a mean load.
-func (b *Balancer) boundOf(mean float64) float64 {
-	if b.without.Has(mechanism.Bound) {
+// boundForMean is the bound for a mean load.
+func (b *Balancer) boundForMean(mean float64) float64 {
+	if b.disabled.Has(mechanism.Bound) {
 		return math.Inf(1)
 	}
-	part, slack := boundPart, boundSlack
-	if b.large {
-		part, slack = largeBoundPart, largeBoundSlack
+	part, slack := boundFraction, boundSlack
+	if b.largeFleet {
+		part, slack = largeBoundFraction, largeBoundSlack
 	}
-	return max(part*b.loadFactor, leastBoundFactor)*mean + slack
+	return max(part*b.loadFactor, minBoundFactor)*mean + slack
 }
 
 // LoadReported takes the load that a replica told, in requests running and waiting.
@@ -75,6 +75,6 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.replicas[id]; r != nil {
-		r.report = report{load: float64(load), running: r.running, at: now}
+		r.report = loadReport{load: float64(load), running: r.running, at: now}
 	}
 }
--- a/pkg/balance/load_test.go
+++ b/pkg/balance/load_test.go
@@ -59,7 +59,7 @@
 	assert.Zero(t, newer.Load)
 	last.MergeLine(Line{1, 8}, sums, Rumors{}, start)
 	assert.InDelta(t, 2+3+4, pick(t, last, prompt(5), start).PassedOverLoad, 0)
-	late := pick(t, last, others[1], start.Add(peerLife))
+	late := pick(t, last, others[1], start.Add(peerLifetime))
 	assert.Equal(t, home, late.Replica.ID, "an old sum says nothing")
 	assert.Zero(t, late.Load)
 }
@@ -143,7 +143,7 @@
 
 func TestOldFailuresAreNotForwarded(t *testing.T) {
 	b := largeFleet(1)[0]
-	b.MergePeer("other", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{ReplicaHash("i-2"), Refused, start.Add(-rumorLife - 1)}}}}, start)
+	b.MergePeer("other", PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{ReplicaHash("i-2"), Refused, start.Add(-rumorLifetime - 1)}}}}, start)
 	assert.Empty(t, b.TakePeerUpdate(start).Failures)
 }
 
@@ -160,7 +160,7 @@
 		for _, factor := range []float64{1, 1.2, 1.6, 1.8, 2, 2.4} {
 			b.SetLoadFactor(factor)
 			bound := pick(t, b, prompt(5), start).Bound
-			assert.Less(t, bound, max(factor, leastBoundFactor)*10+3, "factor %v, large %v", factor, large)
+			assert.Less(t, bound, max(factor, minBoundFactor)*10+3, "factor %v, large %v", factor, large)
 			assert.GreaterOrEqual(t, bound, last)
 			last = bound
 		}
--- a/pkg/balance/near_test.go
+++ b/pkg/balance/near_test.go
@@ -86,7 +86,7 @@
 	b = newBalancer(list)
 	b.RequestSucceeded(home.ID, prompt(5), start)
 	b.SetReplicas(rest, start)
-	late := start.Add(leftLife + time.Millisecond)
+	late := start.Add(departedLifetime + time.Millisecond)
 	assert.NotEqual(t, home.Address, pick(t, b, prompt(5), late).CopySource)
 
 	b = newBalancer(list)
--- a/pkg/balance/opens.go
+++ b/pkg/balance/opens.go
@@ -13,21 +13,21 @@
 	defer b.mu.Unlock()
 	first, known := time.Duration(0), false
 	for _, r := range b.services[service] {
-		if b.silent[r.DataCentre] || slices.Contains(excluded, r.ID) {
+		if b.silentCentres[r.DataCentre] || slices.Contains(excluded, r.ID) {
 			continue
 		}
-		if in := b.avoidedFor(r, now); !known || in < first {
+		if in := b.remainingAvoidance(r, now); !known || in < first {
 			first, known = in, true
 		}
 	}
 	return first, known
 }
 
-// avoidedFor is how long a replica, or its data centre, is still to be avoided.
-func (b *Balancer) avoidedFor(r *replica, now time.Time) time.Duration {
-	until := r.health.until
-	if c := b.centres[r.DataCentre]; c != nil && c.until.After(until) {
-		until = c.until
+// remainingAvoidance is how long a replica, or its data centre, is still to be avoided.
+func (b *Balancer) remainingAvoidance(r *replica, now time.Time) time.Duration {
+	until := r.health.avoidUntil
+	if c := b.centreHealth[r.DataCentre]; c != nil && c.avoidUntil.After(until) {
+		until = c.avoidUntil
 	}
 	return max(until.Sub(now), 0)
 }
--- a/pkg/balance/pace.go
+++ b/pkg/balance/pace.go
@@ -16,16 +16,16 @@
 const (
 	// paceWeight is the weight of the newest sample.
 	paceWeight = 0.25
-	// paceSamples is how many samples it takes to judge.
-	paceSamples = 4
+	// minPaceSamples is how many samples it takes to judge.
+	minPaceSamples = 4
 	// slowFactor is how many times the median makes a replica slow.
 	slowFactor = 3
-	// paceForgets is how much of a slow pace is forgotten with each look at it,
+	// slowPaceDecay is how much of a slow pace is forgotten with each look at it,
 	// so that a replica that gets no work is tried again.
-	paceForgets = 0.98
+	slowPaceDecay = 0.98
 )
 
-func (p *pace) note(sample float64) {
+func (p *pace) add(sample float64) {
 	if p.samples == 0 {
 		p.mean = sample
 	}
@@ -39,50 +39,50 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.replicas[id]; r != nil {
-		r.pace.note(took.Seconds())
+		r.pace.add(took.Seconds())
 	}
 }
 
 // median is the median pace of a service's replicas; zero if too few of them
 // have one.
 type median struct {
-	mean float64
+	pace float64
 	at   time.Time
 }
 
-// medianLife is how long a median is used again.
-const medianLife = 100 * time.Millisecond
+// medianLifetime is how long a median is used again.
+const medianLifetime = 100 * time.Millisecond
 
 // medianPace returns the median pace of a service's replicas.
 func (b *Balancer) medianPace(service string, now time.Time) float64 {
-	if m, known := b.medians[service]; known && now.Sub(m.at) < medianLife && !now.Before(m.at) {
-		return m.mean
+	if m, known := b.medians[service]; known && now.Sub(m.at) < medianLifetime && !now.Before(m.at) {
+		return m.pace
 	}
 	const enough = 3
 	var means []float64
 	for _, r := range b.services[service] {
-		if r.pace.samples >= paceSamples {
+		if r.pace.samples >= minPaceSamples {
 			means = append(means, r.pace.mean)
 		}
 	}
 	m := median{at: now}
 	if len(means) >= enough {
 		slices.Sort(means)
-		m.mean = means[len(means)/2]
+		m.pace = means[len(means)/2]
 	}
 	b.medians[service] = m
-	return m.mean
+	return m.pace
 }
 
-// slow tells whether a replica is far slower than the median of its service.
-func (b *Balancer) slow(r *replica, now time.Time) bool {
-	if r.pace.samples < paceSamples || b.without.Has(mechanism.Pace) {
+// isSlow tells whether a replica is far slower than the median of its service.
+func (b *Balancer) isSlow(r *replica, now time.Time) bool {
+	if r.pace.samples < minPaceSamples || b.disabled.Has(mechanism.Pace) {
 		return false
 	}
 	middle := b.medianPace(r.Service, now)
 	if middle == 0 || r.pace.mean <= slowFactor*middle {
 		return false
 	}
-	r.pace.mean *= paceForgets
+	r.pace.mean *= slowPaceDecay
 	return true
 }
--- a/pkg/balance/peers.go
+++ b/pkg/balance/peers.go
@@ -23,8 +23,8 @@
 // ReplicaHash names a replica among routers.
 func ReplicaHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// peerLife is how long another router's counts say something.
-const peerLife = 2500 * time.Millisecond
+// peerLifetime is how long another router's counts say something.
+const peerLifetime = 2500 * time.Millisecond
 
 // peerCounts are the requests that one router runs, or one line, by replica.
 type peerCounts struct {
@@ -42,7 +42,7 @@
 
 // addTo adds the counts to sums while they say something.
 func (p peerCounts) addTo(sums map[uint32]ReplicaCount, now time.Time) {
-	if now.Sub(p.at) >= peerLife {
+	if now.Sub(p.at) >= peerLifetime {
 		return
 	}
 	for hash, c := range p.running {
@@ -56,11 +56,11 @@
 func (b *Balancer) TakePeerUpdate(now time.Time) PeerUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	told := PeerUpdate{Rumors: b.untold}
-	b.untold = Rumors{}
+	told := PeerUpdate{Rumors: b.pendingRumors}
+	b.pendingRumors = Rumors{}
 	for _, r := range b.replicas {
 		if r.running > 0 {
-			told.Running = append(told.Running, ReplicaCount{r.short, r.running})
+			told.Running = append(told.Running, ReplicaCount{r.shortHash, r.running})
 		}
 	}
 	return told
@@ -71,9 +71,9 @@
 func (b *Balancer) MergePeer(router string, t PeerUpdate, now time.Time) {
 	b.mu.Lock()
 	b.peers[router] = newPeerCounts(t.Running, now)
-	b.totals = nil
+	b.peerTotals = nil
 	b.mergeRumors(t.Rumors, now)
-	b.unlockAndTell()
+	b.unlockAndNotify()
 }
 
 // RemovePeer drops what a router told that is no longer there.
@@ -81,40 +81,40 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.peers, router)
-	b.totals = nil
+	b.peerTotals = nil
 }
 
-// totalsLife is how long a sum over the other routers is used again while none
+// peerTotalsLifetime is how long a sum over the other routers is used again while none
 // of them tells anything new.
-const totalsLife = 50 * time.Millisecond
+const peerTotalsLifetime = 50 * time.Millisecond
 
-// others returns what the other routers run at a replica.
-func (b *Balancer) others(hash uint32, now time.Time) ReplicaCount {
-	if b.totals == nil || now.Sub(b.totalsAt) > totalsLife || now.Before(b.totalsAt) {
-		b.sumOthers(now)
+// peerCount returns what the other routers run at a replica.
+func (b *Balancer) peerCount(hash uint32, now time.Time) ReplicaCount {
+	if b.peerTotals == nil || now.Sub(b.peerTotalsAt) > peerTotalsLifetime || now.Before(b.peerTotalsAt) {
+		b.sumPeerCounts(now)
 	}
-	return b.totals[hash]
+	return b.peerTotals[hash]
 }
 
-// sumOthers adds up what the other routers told lately.
-func (b *Balancer) sumOthers(now time.Time) {
-	b.totals, b.totalsAt = make(map[uint32]ReplicaCount), now
+// sumPeerCounts adds up what the other routers told lately.
+func (b *Balancer) sumPeerCounts(now time.Time) {
+	b.peerTotals, b.peerTotalsAt = make(map[uint32]ReplicaCount), now
 	for _, p := range b.peers {
-		p.addTo(b.totals, now)
+		p.addTo(b.peerTotals, now)
 	}
 	for line, p := range b.lines {
-		if now.Sub(p.at) >= peerLife {
+		if now.Sub(p.at) >= peerLifetime {
 			delete(b.lines, line)
 			continue
 		}
-		p.addTo(b.totals, now)
+		p.addTo(b.peerTotals, now)
 	}
 }
 
-func hashText(s string) uint64 { return xxhash.Sum64String(s) }
+func hashString(s string) uint64 { return xxhash.Sum64String(s) }
 
-// mix spreads the bits of a value; it is the finaliser of SplitMix64.
-func mix(x uint64) uint64 {
+// mixBits spreads the bits of a value; it is the finaliser of SplitMix64.
+func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/pkg/balance/plain.go
+++ b/pkg/balance/plain.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// awayPenalty is what the way to another data centre weighs, in requests.
-const awayPenalty = 1.5
+// remotePenalty is what the way to another data centre weighs, in requests.
+const remotePenalty = 1.5
 
 // pickPlain chooses a replica of a service that keeps nothing between requests.
 func (b *Balancer) pickPlain(q Request, left []*replica, now time.Time) (*replica, Reason) {
 	// A random start makes routers that know the same choose differently.
 	b.random.Shuffle(len(left), func(i, j int) { left[i], left[j] = left[j], left[i] })
 	sound := b.leastBad(left, now)
-	chosen := b.lowest(q, sound, now)
-	if b.large {
+	chosen := b.leastPlainLoad(q, sound, now)
+	if b.largeFleet {
 		chosen = b.drawByLoad(q, sound, now)
 	}
-	if b.suspect(chosen, now) {
+	if b.isSuspect(chosen, now) {
 		return chosen, LastResort
 	}
 	return chosen, LeastLoaded
@@ -44,12 +44,12 @@
 // plainLoad is a replica's load with what the way to it weighs.
 func (b *Balancer) plainLoad(q Request, r *replica, now time.Time) float64 {
 	if r.DataCentre != q.DataCentre {
-		return math.Floor(b.load(r, now)) + awayPenalty
+		return math.Floor(b.load(r, now)) + remotePenalty
 	}
 	return math.Floor(b.load(r, now))
 }
 
-func (b *Balancer) lowest(q Request, list []*replica, now time.Time) *replica {
+func (b *Balancer) leastPlainLoad(q Request, list []*replica, now time.Time) *replica {
 	return slices.MinFunc(list, func(x, y *replica) int {
 		return cmp.Compare(b.plainLoad(q, x, now), b.plainLoad(q, y, now))
 	})
--- a/pkg/balance/plainfleet_test.go
+++ b/pkg/balance/plainfleet_test.go
@@ -71,7 +71,7 @@
 	var list []directory.Replica
 	for id, r := range f.replicas {
 		if !r.gone {
-			list = append(list, directory.Replica{ID: id, Service: "plain", Address: id, DataCentre: fmt.Sprintf("dc%d", hashText(id)%5), Slots: plainSlots})
+			list = append(list, directory.Replica{ID: id, Service: "plain", Address: id, DataCentre: fmt.Sprintf("dc%d", hashString(id)%5), Slots: plainSlots})
 		}
 	}
 	slices.SortFunc(list, func(a, b directory.Replica) int { return cmp.Compare(a.ID, b.ID) })
--- a/pkg/balance/reach_test.go
+++ b/pkg/balance/reach_test.go
@@ -25,7 +25,7 @@
 		{"all sound", func(*Balancer) {}, []step{{0, false}, {1, false}}},
 		{"one is left", func(b *Balancer) { unreachable(b, "i-0", "i-1") }, []step{{0, false}, {1, false}}},
 		{"none is left", func(b *Balancer) { unreachable(b, "i-0", "i-1", "i-2") },
-			[]step{{0, false}, {1, true}, {probePause - 1, true}, {probePause, false}, {probePause + 1, true}, {time.Second, false}, {time.Second + 1, false}}},
+			[]step{{0, false}, {1, true}, {probeInterval - 1, true}, {probeInterval, false}, {probeInterval + 1, true}, {time.Second, false}, {time.Second + 1, false}}},
 		{"none listens: that costs nothing to try", func(b *Balancer) {
 			for _, id := range []string{"i-0", "i-1", "i-2"} {
 				b.RequestFailed(id, Refused, "dc0", start)
--- a/pkg/balance/replicas.go
+++ b/pkg/balance/replicas.go
@@ -12,8 +12,8 @@
 func (b *Balancer) SetReplicas(list []directory.Replica, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.listed.IsZero() {
-		b.listed = now
+	if b.firstListedAt.IsZero() {
+		b.firstListedAt = now
 	}
 	replicas := make(map[string]*replica, len(list))
 	services := make(map[string][]*replica)
@@ -22,14 +22,14 @@
 	for _, r := range list {
 		known := b.replicas[r.ID]
 		if known == nil {
-			known = &replica{hash: hashText(r.ID), short: ReplicaHash(r.ID)}
-			if now.Sub(b.listed) > settleTime {
-				known.joined = now
+			known = &replica{rankHash: hashString(r.ID), shortHash: ReplicaHash(r.ID)}
+			if now.Sub(b.firstListedAt) > startupPeriod {
+				known.joinedAt = now
 			}
 		}
 		known.Replica = r
 		replicas[r.ID] = known
-		byHash[known.short] = known
+		byHash[known.shortHash] = known
 		switch {
 		case r.State != directory.Ready:
 		case r.Evacuated:
@@ -38,11 +38,11 @@
 			services[r.Service] = append(services[r.Service], known)
 		}
 	}
-	b.keepLeavers(replicas, now)
-	b.replicas, b.services, b.byHash, b.evacuated = replicas, services, byHash, evacuated
-	b.bySingle = make(map[uint16][]*replica, len(replicas))
+	b.retainDeparted(replicas, now)
+	b.replicas, b.services, b.byShortHash, b.evacuated = replicas, services, byHash, evacuated
+	b.byTinyHash = make(map[uint16][]*replica, len(replicas))
 	for _, r := range replicas {
-		b.bySingle[uint16(r.short)] = append(b.bySingle[uint16(r.short)], r)
+		b.byTinyHash[uint16(r.shortHash)] = append(b.byTinyHash[uint16(r.shortHash)], r)
 	}
 	clear(b.medians)
 }
@@ -62,14 +62,14 @@
 	return len(b.services[service])
 }
 
-// isNew tells whether an engine joined a moment ago.
-func (r *replica) isNew(now time.Time) bool { return now.Sub(r.joined) < newLife }
+// joinedRecently tells whether an engine joined a moment ago.
+func (r *replica) joinedRecently(now time.Time) bool { return now.Sub(r.joinedAt) < newReplicaPeriod }
 
 const (
-	// newLife is for how long an engine that joined is taken to lack the parts
+	// newReplicaPeriod is for how long an engine that joined is taken to lack the parts
 	// whose home it became.
-	newLife = 15 * time.Second
-	// settleTime is for how long after the first list replicas that join may have
+	newReplicaPeriod = 15 * time.Second
+	// startupPeriod is for how long after the first list replicas that join may have
 	// been there before: entries come one by one when all start together.
-	settleTime = 5 * time.Second
+	startupPeriod = 5 * time.Second
 )
--- a/pkg/balance/rest.go
+++ b/pkg/balance/rest.go
@@ -7,8 +7,8 @@
 // come at one moment, and it would have to ask again.
 
 const (
-	// resumeTime is for how long after a rest a replica gets less than its share.
-	resumeTime = 2 * time.Second
+	// resumePeriod is for how long after a rest a replica gets less than its share.
+	resumePeriod = 2 * time.Second
 	// resumeStep is how long it takes until this router may have one more request there.
 	resumeStep = 250 * time.Millisecond
 )
@@ -22,11 +22,11 @@
 	}
 }
 
-// resumes tells whether a replica whose rest is over has as many of this router's
+// atResumeLimit tells whether a replica whose rest is over has as many of this router's
 // requests as it may have for now.
-func (r *replica) resumes(now time.Time) bool {
+func (r *replica) atResumeLimit(now time.Time) bool {
 	since := now.Sub(r.restUntil)
-	if r.restUntil.IsZero() || since < 0 || since >= resumeTime {
+	if r.restUntil.IsZero() || since < 0 || since >= resumePeriod {
 		return false
 	}
 	return r.running >= 1+int(since/resumeStep)
--- a/pkg/balance/rest_test.go
+++ b/pkg/balance/rest_test.go
@@ -19,7 +19,7 @@
 	}{
 		"plain, at the end":  {nil, time.Millisecond, 1},
 		"plain, soon after":  {nil, 2*resumeStep + time.Millisecond, 3},
-		"plain, afterwards":  {nil, resumeTime, 12},
+		"plain, afterwards":  {nil, resumePeriod, 12},
 		"prompt, at the end": {[]Part{{ID: 7, Tokens: 100}, {ID: 8, Tokens: 10}}, time.Millisecond, 1},
 	}
 	for name, test := range tests {
--- a/pkg/balance/rumors.go
+++ b/pkg/balance/rumors.go
@@ -34,8 +34,8 @@
 func (b *Balancer) TakeRumors() Rumors {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	rumors := b.untold
-	b.untold = Rumors{}
+	rumors := b.pendingRumors
+	b.pendingRumors = Rumors{}
 	return rumors
 }
 
@@ -43,43 +43,43 @@
 func (b *Balancer) MergeRumors(r Rumors, now time.Time) {
 	b.mu.Lock()
 	b.mergeRumors(r, now)
-	b.unlockAndTell()
+	b.unlockAndNotify()
 }
 
-// rumorLife is how long a failure is worth passing on.
-const rumorLife = 2 * time.Second
+// rumorLifetime is how long a failure is worth passing on.
+const rumorLifetime = 2 * time.Second
 
 // Bounds of what waits to be told; the oldest is left out.
 const (
-	maxToldFailures = 64
-	maxToldHolders  = 4096
-	// maxToldLarge is the same for both in a large fleet, where all that is told
+	maxPendingFailures = 64
+	maxPendingHolders  = 4096
+	// maxPendingLarge is the same for both in a large fleet, where all that is told
 	// is passed on by all.
-	maxToldLarge = 16
+	maxPendingLarge = 16
 )
 
-// maxTold is how much of a kind may wait to be told.
-func (b *Balancer) maxTold(most int) int {
-	if b.large {
-		return maxToldLarge
+// maxPending is how much of a kind may wait to be told.
+func (b *Balancer) maxPending(most int) int {
+	if b.largeFleet {
+		return maxPendingLarge
 	}
 	return most
 }
 
-// tellFailure and tellHolder keep something for the next Tell. b.mu is held.
-func (b *Balancer) tellFailure(r *replica, kind Failure, now time.Time) {
-	if b.large && kind == Shed {
+// queueFailure and tellHolder keep something for the next Tell. b.mu is held.
+func (b *Balancer) queueFailure(r *replica, kind Failure, now time.Time) {
+	if b.largeFleet && kind == Shed {
 		// It is over before it has come round.
 		return
 	}
-	if len(b.untold.Failures) < b.maxTold(maxToldFailures) {
-		b.untold.Failures = append(b.untold.Failures, ObservedFailure{ReplicaHash(r.ID), kind, now})
+	if len(b.pendingRumors.Failures) < b.maxPending(maxPendingFailures) {
+		b.pendingRumors.Failures = append(b.pendingRumors.Failures, ObservedFailure{ReplicaHash(r.ID), kind, now})
 	}
 }
 
-func (b *Balancer) tellHolder(part uint64, r *replica) {
-	if len(b.untold.Holders) < b.maxTold(maxToldHolders) {
-		b.untold.Holders = append(b.untold.Holders, PartHolder{part, ReplicaHash(r.ID)})
+func (b *Balancer) queueHolder(part uint64, r *replica) {
+	if len(b.pendingRumors.Holders) < b.maxPending(maxPendingHolders) {
+		b.pendingRumors.Holders = append(b.pendingRumors.Holders, PartHolder{part, ReplicaHash(r.ID)})
 	}
 }
 
@@ -93,51 +93,51 @@
 		b.mergeHolder(h, now)
 	}
 	for _, h := range t.Hot {
-		b.noteHot(h, now)
+		b.addHotPart(h, now)
 	}
 }
 
 // mergeFailure takes a failure that another router saw. b.mu is held.
 func (b *Balancer) mergeFailure(f ObservedFailure, now time.Time) {
-	r := b.byHash[f.Replica]
-	if r == nil || f.Failure > Restart || b.without.Has(mechanism.Rumors) {
+	r := b.byShortHash[f.Replica]
+	if r == nil || f.Failure > Restart || b.disabled.Has(mechanism.Rumors) {
 		return
 	}
 	if f.Failure == Restart {
 		if b.mergeRestart(r, f.At) {
-			b.restartsToTell = append(b.restartsToTell, r.Replica)
-			if b.large {
-				b.tellFailure(r, f.Failure, f.At)
+			b.pendingRestarts = append(b.pendingRestarts, r.Replica)
+			if b.largeFleet {
+				b.queueFailure(r, f.Failure, f.At)
 			}
 		}
 		return
 	}
-	if f.At.Before(r.restarted) {
+	if f.At.Before(r.restartedAt) {
 		return
 	}
-	if b.large {
+	if b.largeFleet {
 		// Who is avoided already was told of already, on a quicker way or by another
 		// router: what comes late must not go round again.
-		if r.health.avoided(now) || now.Sub(f.At) > rumorLife || f.Failure.soft() && b.crowded(r.Service, now) {
+		if r.health.isAvoided(now) || now.Sub(f.At) > rumorLifetime || f.Failure.isSoft() && b.tooManyAvoided(r.Service, now) {
 			return
 		}
-		b.tellFailure(r, f.Failure, f.At)
-		r.health.failed(f.Failure, f.At)
+		b.queueFailure(r, f.Failure, f.At)
+		r.health.recordFailure(f.Failure, f.At)
 		return
 	}
-	b.doubt(r, f.Failure, f.At)
+	b.recordFailure(r, f.Failure, f.At)
 }
 
 // mergeHolder takes a holder that another router saw. b.mu is held.
 func (b *Balancer) mergeHolder(h PartHolder, now time.Time) {
-	r := b.byHash[h.Replica]
-	if r == nil || now.Sub(r.restarted) < lateHolders {
+	r := b.byShortHash[h.Replica]
+	if r == nil || now.Sub(r.restartedAt) < lateHolderWindow {
 		return
 	}
-	if b.large && !b.holders.holds(h.Part, r.ID, now) {
-		b.tellHolder(h.Part, r)
+	if b.largeFleet && !b.holders.holds(h.Part, r.ID, now) {
+		b.queueHolder(h.Part, r)
 	}
-	b.holders.note(h.Part, r.ID, now)
+	b.holders.add(h.Part, r.ID, now)
 }
 
 // Holders returns who is known to hold which parts, for a router that starts.
@@ -158,8 +158,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range list {
-		if r := b.byHash[h.Replica]; r != nil && now.Sub(r.restarted) >= lateHolders && !b.holders.holds(h.Part, r.ID, now) {
-			b.holders.note(h.Part, r.ID, now)
+		if r := b.byShortHash[h.Replica]; r != nil && now.Sub(r.restartedAt) >= lateHolderWindow && !b.holders.holds(h.Part, r.ID, now) {
+			b.holders.add(h.Part, r.ID, now)
 		}
 	}
 }
@@ -174,8 +174,8 @@
 	}
 	for _, part := range parts {
 		if !b.holders.holds(part.ID, id, now) {
-			b.tellHolder(part.ID, r)
+			b.queueHolder(part.ID, r)
 		}
-		b.holders.note(part.ID, id, now)
+		b.holders.add(part.ID, id, now)
 	}
 }
--- a/pkg/balance/spread.go
+++ b/pkg/balance/spread.go
@@ -21,18 +21,18 @@
 //
 // It costs more copies of the part, and keeps its homes within what the users allow.
 const (
-	// spreadRoom is the part of the bound that one more home takes: homes have half of
+	// homeLoadShare is the part of the bound that one more home takes: homes have half of
 	// it free in the mean.
-	spreadRoom = 0.5
-	// spreadMost is the most homes that a part is spread over: each of them has to copy
+	homeLoadShare = 0.5
+	// maxHomes is the most homes that a part is spread over: each of them has to copy
 	// it.
-	spreadMost = 8
-	// spreadLife is for how long a part is spread once it was seen to need it: some ten
+	maxHomes = 8
+	// spreadLifetime is for how long a part is spread once it was seen to need it: some ten
 	// rounds of telling, so that the homes are seen to be calm, or not, before all go
 	// back to one.
-	spreadLife = 6 * time.Second
-	// maxSpread is how many parts are remembered. A fleet has a handful at a time.
-	maxSpread = 1000
+	spreadLifetime = 6 * time.Second
+	// maxHotParts is how many parts are remembered. A fleet has a handful at a time.
+	maxHotParts = 1000
 )
 
 // HotPart is a part of prompts that is spread over some of its homes, and when it was
@@ -43,74 +43,74 @@
 	At    time.Time
 }
 
-// hotParts remembers which parts are spread.
-type hotParts struct {
+// hotPartCache remembers which parts are spread.
+type hotPartCache struct {
 	parts *lru.Cache[uint64, HotPart]
 }
 
-func newHotParts() *hotParts {
-	parts, err := lru.New[uint64, HotPart](maxSpread)
+func newHotPartCache() *hotPartCache {
+	parts, err := lru.New[uint64, HotPart](maxHotParts)
 	if err != nil {
 		// The size is a constant above zero.
 		panic(err)
 	}
-	return &hotParts{parts: parts}
+	return &hotPartCache{parts: parts}
 }
 
 // homes returns over how many homes a part is spread.
-func (h *hotParts) homes(part uint64, now time.Time) int {
+func (h *hotPartCache) homes(part uint64, now time.Time) int {
 	hot, found := h.parts.Peek(part)
-	if !found || now.Sub(hot.At) >= spreadLife {
+	if !found || now.Sub(hot.At) >= spreadLifetime {
 		return 1
 	}
 	return hot.Homes
 }
 
-// noteHot notes that a part takes some homes. What is new is told. b.mu is held.
-func (b *Balancer) noteHot(hot HotPart, now time.Time) {
-	if !b.large || now.Sub(hot.At) >= spreadLife || hot.Homes <= b.hot.homes(hot.Part, now) {
+// addHotPart notes that a part takes some homes. What is new is told. b.mu is held.
+func (b *Balancer) addHotPart(hot HotPart, now time.Time) {
+	if !b.largeFleet || now.Sub(hot.At) >= spreadLifetime || hot.Homes <= b.hotParts.homes(hot.Part, now) {
 		return
 	}
-	hot.Homes = min(hot.Homes, spreadMost)
-	b.hot.parts.Add(hot.Part, hot)
-	if len(b.untold.Hot) < b.maxTold(maxToldLarge) {
-		b.untold.Hot = append(b.untold.Hot, hot)
+	hot.Homes = min(hot.Homes, maxHomes)
+	b.hotParts.parts.Add(hot.Part, hot)
+	if len(b.pendingRumors.Hot) < b.maxPending(maxPendingLarge) {
+		b.pendingRumors.Hot = append(b.pendingRumors.Hot, hot)
 	}
 }
 
-// spread returns the engine for a part whose first one that fits is given, or any of
+// pickAmongHomes returns the engine for a part whose first one that fits is given, or any of
 // the first that fit, as many as the part takes.
-func (b *Balancer) spread(list []*replica, key uint64, fits func(*replica) bool, first *replica, bound float64, now time.Time) *replica {
-	if !b.large || first == nil || b.without.Has(mechanism.Spread) {
+func (b *Balancer) pickAmongHomes(list []*replica, key uint64, fits func(*replica) bool, first *replica, bound float64, now time.Time) *replica {
+	if !b.largeFleet || first == nil || b.disabled.Has(mechanism.Spread) {
 		return first
 	}
-	b.noteHot(HotPart{Part: key, Homes: b.homesFor(list, key, first, bound, now), At: now}, now)
-	most := b.hot.homes(key, now)
+	b.addHotPart(HotPart{Part: key, Homes: b.requiredHomes(list, key, first, bound, now), At: now}, now)
+	most := b.hotParts.homes(key, now)
 	if most <= 1 {
 		return first
 	}
-	homes := b.homesOf(list, key, fits, now)
+	homes := b.rankedHomes(list, key, fits, now)
 	return homes[b.random.IntN(min(most, len(homes)))]
 }
 
-// homesFor returns how many homes a part takes by what those that come before the first
+// requiredHomes returns how many homes a part takes by what those that come before the first
 // one that fits have above the bound. Where a holder was found those before it are
 // holders too.
-func (b *Balancer) homesFor(list []*replica, key uint64, first *replica, bound float64, now time.Time) int {
+func (b *Balancer) requiredHomes(list []*replica, key uint64, first *replica, bound float64, now time.Time) int {
 	above := 0.0
 	held := b.holders.holds(key, first.ID, now)
 	for _, r := range list {
 		before := homeRank(r, key) > homeRank(first, key) && (!held || b.holders.holds(key, r.ID, now))
-		if before && !b.suspect(r, now) {
+		if before && !b.isSuspect(r, now) {
 			above += max(b.load(r, now)-bound, 0)
 		}
 	}
-	return 1 + int(above/(spreadRoom*bound))
+	return 1 + int(above/(homeLoadShare*bound))
 }
 
-// homesOf returns the engines that fit in the order in which a part takes them: those
+// rankedHomes returns the engines that fit in the order in which a part takes them: those
 // that hold it, then by rank.
-func (b *Balancer) homesOf(list []*replica, key uint64, fits func(*replica) bool, now time.Time) []*replica {
+func (b *Balancer) rankedHomes(list []*replica, key uint64, fits func(*replica) bool, now time.Time) []*replica {
 	var homes []*replica
 	holds := make(map[*replica]bool)
 	for _, r := range list {
--- a/pkg/balance/spread_test.go
+++ b/pkg/balance/spread_test.go
@@ -40,9 +40,9 @@
 		b.RequestFinished(home)
 	}
 	// Twenty at twelve engines are a bound of 4.6, which leaves 15.4 for halves of it.
-	assert.Equal(t, 7, chosen(t, b, start.Add(spreadLife-1)), "though the home is idle again")
-	assert.Equal(t, 1, chosen(t, b, start.Add(spreadLife)))
-	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(spreadLife)).Replica.ID)
+	assert.Equal(t, 7, chosen(t, b, start.Add(spreadLifetime-1)), "though the home is idle again")
+	assert.Equal(t, 1, chosen(t, b, start.Add(spreadLifetime)))
+	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(spreadLifetime)).Replica.ID)
 }
 
 func TestHotPartsAreGossiped(t *testing.T) {
@@ -60,13 +60,13 @@
 	other.MergePeer("c", PeerUpdate{Rumors: told.Rumors}, start.Add(time.Second))
 	assert.Empty(t, other.TakePeerUpdate(start).Hot, "once")
 	assert.Equal(t, 7, chosen(t, other, start.Add(time.Second)))
-	assert.Equal(t, 1, chosen(t, other, start.Add(spreadLife)), "from when it was seen")
-	other.MergePeer("c", PeerUpdate{Rumors: told.Rumors}, start.Add(spreadLife))
+	assert.Equal(t, 1, chosen(t, other, start.Add(spreadLifetime)), "from when it was seen")
+	other.MergePeer("c", PeerUpdate{Rumors: told.Rumors}, start.Add(spreadLifetime))
 	assert.Empty(t, other.TakePeerUpdate(start).Hot, "what is over is not passed on")
 
 	many := HotPart{Part: 1005, Homes: 1 << 30, At: start}
 	other.MergePeer("c", PeerUpdate{Rumors: Rumors{Hot: []HotPart{many}}}, start)
-	assert.Equal(t, spreadMost, chosen(t, other, start), "as many as a part may have")
+	assert.Equal(t, maxHomes, chosen(t, other, start), "as many as a part may have")
 }
 
 func TestSessionIsNotSpread(t *testing.T) {
@@ -86,8 +86,8 @@
 // More is seen than can be told, and some of it is told.
 func TestGossipedHotPartsAreBounded(t *testing.T) {
 	b, _ := full(t)
-	for part := range uint64(5 * maxToldLarge) {
+	for part := range uint64(5 * maxPendingLarge) {
 		b.MergePeer("a", PeerUpdate{Rumors: Rumors{Hot: []HotPart{{Part: part, Homes: 2, At: start}}}}, start)
 	}
-	assert.Len(t, b.TakePeerUpdate(start).Hot, maxToldLarge)
+	assert.Len(t, b.TakePeerUpdate(start).Hot, maxPendingLarge)
 }
--- a/pkg/balance/without_test.go
+++ b/pkg/balance/without_test.go
@@ -62,7 +62,7 @@
 				if fmt.Sprintf("i-%d", i) == home.ID {
 					took *= 8
 				}
-				for range paceSamples {
+				for range minPaceSamples {
 					b.RecordDuration(fmt.Sprintf("i-%d", i), took)
 				}
 			}
