--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestNoEngineGetsMoreThanTheBound(t *testing.T) {
-	// All requests are about one part: the worst key there can be.
+	// All requests need the same part: the worst possible key.
 	b := newBalancer(engines(12))
 	running := make(map[string]float64)
 	for n := range 240 {
@@ -131,8 +131,9 @@
 	assert.Equal(t, home.Replica.Address, c.CopySource)
 }
 
-// Where a second home was weighed, each part that came twice in a moment was read
-// twice, and a cut made all of them come anew.
+// Guards against reading an unheld part at a second home. When second homes were
+// considered, each part requested twice within moments was read twice, and a network
+// partition made all parts come anew.
 func TestUnheldPartIsReadAtOneHome(t *testing.T) {
 	for _, large := range []bool{false, true} {
 		b := newBalancer(engines(12))
@@ -221,8 +222,8 @@
 	assert.False(t, found)
 }
 
-// A diverted request found an engine that held the opening, so that it was told
-// no source, and read the rest again that its home held.
+// Guards against a diverted request without a copy source. It found an engine that held
+// the opening, so that it got no source, and read the rest again, which its home held.
 func TestCopySourceWithoutKnownHolder(t *testing.T) {
 	b := newBalancer(engines(12))
 	home := pick(t, b, prompt(5), start).Replica
@@ -256,7 +257,7 @@
 	for part := range uint64(200) {
 		b := newBalancer(list[:12])
 		before := pick(t, b, prompt(part), start).Replica
-		// The router knows of a holder of the opening, but not of one of the rest.
+		// The router knows a holder of the opening, but none of the rest.
 		b.PartsReported("i-3", prompt(part)[:1], start)
 		joined := start.Add(startupPeriod + 1)
 		b.SetReplicas(list, joined)
@@ -280,9 +281,10 @@
 	assert.False(t, b.Suspected("i-1", start.Add(501*time.Millisecond)))
 }
 
-// While all engines failed now and then, and on the small side of a cut, requests
-// went to the least loaded one, wherever their parts were: each was copied or read
-// at one engine after the other.
+// Guards against choosing by load alone when all engines are suspected. While all engines
+// failed occasionally, and on the small side of a network partition, requests went to the
+// least loaded engine, wherever their parts were: each part was copied or read at one
+// engine after the other.
 func TestPartsKeepTheirHomeWhileAllEnginesAreSuspected(t *testing.T) {
 	b := newBalancer(engines(12))
 	for i := range 12 {
--- a/pkg/balance/bench_test.go
+++ b/pkg/balance/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkPick is one decision at 150 engines, told of by 73 other routers.
+// BenchmarkPick measures one choice among 150 engines, with counts from 73 other routers.
 func BenchmarkPick(b *testing.B) {
 	balancer := newBalancer(engines(150))
 	now := time.Now()
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkPickLarge is one decision in a large fleet, by the sums of its lines.
+// BenchmarkPickLarge measures one choice in a large fleet, with the sums of its lines.
 func BenchmarkPickLarge(b *testing.B) {
 	for _, n := range []int{150, 1520} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -11,23 +11,23 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// What a cold replica of these tests bears, and what the users allow beyond it.
+// The rate of a cold replica in these tests, and what users allow beyond it.
 const coldRate = 9.6
 
 var coldBounds = ColdBounds{Overage: 1.5, Allowance: 5}
 
-// mostCold is what all routers may send to a cold replica in a second.
-var mostCold = coldRate*coldBounds.Overage + coldBounds.Allowance
+// maxColdPerSecond is what all routers together may send to a cold replica in a second.
+var maxColdPerSecond = coldRate*coldBounds.Overage + coldBounds.Allowance
 
-func chill(list []directory.Replica, until time.Time, ids ...int) []directory.Replica {
+func makeCold(list []directory.Replica, until time.Time, ids ...int) []directory.Replica {
 	for _, i := range ids {
 		list[i].ColdUntil = until
 	}
 	return list
 }
 
-// fleetOf returns the addresses of a number of routers.
-func fleetOf(n int) []string {
+// routerAddresses returns the addresses of n routers.
+func routerAddresses(n int) []string {
 	var addresses []string
 	for i := range n {
 		addresses = append(addresses, fmt.Sprintf("10.0.0.%d:9", i))
@@ -35,8 +35,8 @@
 	return addresses
 }
 
-// settled returns a router's balancer that has known the others for long.
-func settled(list []directory.Replica, own string, known []string) *Balancer {
+// settledBalancer returns the balancer of a router that has long known the others.
+func settledBalancer(list []directory.Replica, own string, known []string) *Balancer {
 	b := New(hashString(own))
 	b.SetColdBounds(coldBounds)
 	b.SetRouters(own, known, start.Add(-time.Hour))
@@ -44,21 +44,21 @@
 	return b
 }
 
-func question(part uint64) Request {
+func coldRequest(part uint64) Request {
 	return Request{Service: "llm", DataCentre: "dc0", Parts: prompt(part), ColdRate: coldRate}
 }
 
 func TestAColdReplicaGetsNothingWhileAWarmOneHasRoom(t *testing.T) {
 	until := start.Add(3 * time.Second)
-	b := settled(chill(engines(3), until, 1), "a", []string{"a"})
+	b := settledBalancer(makeCold(engines(3), until, 1), "a", []string{"a"})
 	for part := range uint64(200) {
-		c, found := b.Pick(question(part), start)
+		c, found := b.Pick(coldRequest(part), start)
 		require.True(t, found)
 		assert.NotEqual(t, "i-1", c.Replica.ID)
 	}
 	warm := 0
 	for part := range uint64(200) {
-		c, _ := b.Pick(question(part), until)
+		c, _ := b.Pick(coldRequest(part), until)
 		if c.Replica.ID == "i-1" {
 			warm++
 		}
@@ -67,7 +67,7 @@
 }
 
 func TestServiceWithoutColdRateIsNotHeldBack(t *testing.T) {
-	b := settled(chill(engines(1), start.Add(time.Minute), 0), "a", []string{"a", "b", "c", "d", "e"})
+	b := settledBalancer(makeCold(engines(1), start.Add(time.Minute), 0), "a", []string{"a", "b", "c", "d", "e"})
 	for range 50 {
 		_, found := b.Pick(Request{Service: "llm", Parts: prompt(1)}, start)
 		assert.True(t, found)
@@ -89,7 +89,7 @@
 		"a prompt, the others tried": {prompt(1), func(*Balancer) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := settled(chill(engines(2), start.Add(time.Minute), 0), "a", []string{"a"})
+			b := settledBalancer(makeCold(engines(2), start.Add(time.Minute), 0), "a", []string{"a"})
 			c.spoil(b)
 			q := Request{Service: "llm", DataCentre: "dc0", Parts: c.parts, ColdRate: coldRate}
 			if name == "a prompt, the others tried" {
@@ -105,8 +105,8 @@
 	}
 }
 
-// sendAll has routers ask for a replica 100 times a second each, and returns the most
-// that each replica got within any second.
+// sendAll lets each router pick a replica 100 times a second, and returns the most
+// requests that each replica got within any second.
 func sendAll(t *testing.T, routers []*Balancer, q Request, length time.Duration) map[string]int {
 	t.Helper()
 	arrivals := make(map[string][]time.Time)
@@ -133,13 +133,13 @@
 		parts  []Part
 		groups [][]string
 	}{
-		"one router":                        {prompt(1), [][]string{fleetOf(1)}},
-		"a small fleet":                     {prompt(1), [][]string{fleetOf(6)}},
-		"a large fleet":                     {prompt(1), [][]string{fleetOf(78)}},
-		"a large fleet, a plain service":    {nil, [][]string{fleetOf(78)}},
-		"two halves that know nothing":      {prompt(1), [][]string{fleetOf(78)[:39], fleetOf(78)[39:]}},
-		"two thirds that know nothing":      {nil, [][]string{fleetOf(78)[:52], fleetOf(78)[52:]}},
-		"a large fleet on its last replica": {prompt(2), [][]string{fleetOf(78)}},
+		"one router":                        {prompt(1), [][]string{routerAddresses(1)}},
+		"a small fleet":                     {prompt(1), [][]string{routerAddresses(6)}},
+		"a large fleet":                     {prompt(1), [][]string{routerAddresses(78)}},
+		"a large fleet, a plain service":    {nil, [][]string{routerAddresses(78)}},
+		"two halves that know nothing":      {prompt(1), [][]string{routerAddresses(78)[:39], routerAddresses(78)[39:]}},
+		"two thirds that know nothing":      {nil, [][]string{routerAddresses(78)[:52], routerAddresses(78)[52:]}},
+		"a large fleet on its last replica": {prompt(2), [][]string{routerAddresses(78)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := 5
@@ -153,14 +153,14 @@
 			var routers []*Balancer
 			for _, group := range c.groups {
 				for _, own := range group {
-					routers = append(routers, settled(list, own, group))
+					routers = append(routers, settledBalancer(list, own, group))
 				}
 			}
 			q := Request{Service: "llm", DataCentre: "dc0", Parts: c.parts, ColdRate: coldRate}
 			most := sendAll(t, routers, q, 4*time.Second)
 			assert.Len(t, most, n, "each is used")
 			for id, got := range most {
-				assert.LessOrEqual(t, float64(got), mostCold, id)
+				assert.LessOrEqual(t, float64(got), maxColdPerSecond, id)
 				assert.GreaterOrEqual(t, float64(got), coldRate*0.7, "and not left idle: %s", id)
 			}
 		})
@@ -168,16 +168,16 @@
 }
 
 func TestNewRouterSendsNothingToColdReplicas(t *testing.T) {
-	list := chill(engines(1), start.Add(time.Minute), 0)
+	list := makeCold(engines(1), start.Add(time.Minute), 0)
 	b := New(1)
 	b.SetColdBounds(coldBounds)
 	b.SetReplicas(list, start)
-	_, found := b.Pick(question(1), start)
+	_, found := b.Pick(coldRequest(1), start)
 	assert.False(t, found, "nobody said which routers there are")
 	b.SetRouters("a", []string{"a"}, start)
-	_, found = b.Pick(question(1), start.Add(membershipSettleTime-time.Millisecond))
+	_, found = b.Pick(coldRequest(1), start.Add(membershipSettleTime-time.Millisecond))
 	assert.False(t, found, "it may not know the others")
-	_, found = b.Pick(question(1), start.Add(membershipSettleTime))
+	_, found = b.Pick(coldRequest(1), start.Add(membershipSettleTime))
 	assert.True(t, found)
 }
 
@@ -215,14 +215,14 @@
 		list[i].Evacuated = true
 	}
 	b.SetReplicas(list, start)
-	_, found := b.Pick(question(1), start)
+	_, found := b.Pick(coldRequest(1), start)
 	assert.False(t, found, "not as a last resort either")
 	assert.True(t, b.ServiceEvacuated("llm"))
 	assert.False(t, b.ServiceEvacuated("none"))
 }
 
-// A day with an evacuation: LIMIT, since the bound was that of the mean of two thirds
-// of the replicas.
+// Guards against exceeding the load limit during an evacuation, when the bound was that
+// of the mean of two thirds of the replicas.
 func TestBoundUsesMeanOfAllReplicas(t *testing.T) {
 	for name, change := range map[string]func(r *directory.Replica){
 		"some evacuated": func(r *directory.Replica) { r.Evacuated = true },
@@ -235,7 +235,7 @@
 					change(&list[i])
 				}
 			}
-			b := settled(list, "a", []string{"a"})
+			b := settledBalancer(list, "a", []string{"a"})
 			for i := range list {
 				for range 9 {
 					if list[i].DataCentre != "dc2" {
@@ -243,7 +243,7 @@
 					}
 				}
 			}
-			c, found := b.Pick(question(1), start)
+			c, found := b.Pick(coldRequest(1), start)
 			require.True(t, found)
 			assert.InDelta(t, boundFraction*defaultLoadFactor*6+boundSlack, c.Bound, 1e-9, "54 requests at 9 replicas")
 		})
@@ -254,15 +254,15 @@
 	b := newBalancer(engines(20))
 	assert.False(t, b.CapacityReduced(start))
 	assert.False(t, New(1).CapacityReduced(start), "before the first list")
-	b.SetReplicas(chill(engines(20), start.Add(time.Second), 3, 4, 5), start)
+	b.SetReplicas(makeCold(engines(20), start.Add(time.Second), 3, 4, 5), start)
 	pick(t, b, prompt(1), start)
 	assert.False(t, b.CapacityReduced(start), "cold ones of this service get what warm ones do")
-	_, found := b.Pick(question(1), start)
+	_, found := b.Pick(coldRequest(1), start)
 	assert.True(t, found)
 	assert.True(t, b.CapacityReduced(start))
-	b.SetReplicas(chill(engines(20), start.Add(time.Second), 3, 4), start)
+	b.SetReplicas(makeCold(engines(20), start.Add(time.Second), 3, 4), start)
 	assert.False(t, b.CapacityReduced(start), "a tenth, as in a release")
-	b.SetReplicas(chill(engines(20), start.Add(time.Second), 3, 4, 5), start)
+	b.SetReplicas(makeCold(engines(20), start.Add(time.Second), 3, 4, 5), start)
 	assert.True(t, b.CapacityReduced(start))
 	assert.False(t, b.CapacityReduced(start.Add(time.Second)), "warm")
 	list := engines(20)
--- a/pkg/balance/enginefleet_test.go
+++ b/pkg/balance/enginefleet_test.go
@@ -11,46 +11,46 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// engineFleet plays a large fleet of routers before engines that keep what they read.
-// An engine reads prompts one after the other and then makes tokens for all requests at
-// once, the slower the more there are.
+// engineFleet simulates a large fleet of routers in front of engines that cache what they
+// read. An engine reads prompts one after the other and then generates tokens for all
+// requests at once, more slowly the more there are.
 type engineFleet struct {
-	*tellingFleet
+	*gossipFleet
 	engines map[string]*simEngine
-	// once are the parts that some engine has read.
-	once  map[uint64]bool
-	kinds []requestKind
-	times func(at time.Duration) float64
-	stats engineStats
-	// shifted is the part of the callers that come to the first data centre.
-	shifted float64
-	// breaking is the part of the requests that break at the engines that do so.
-	breaking float64
-	// readPerSecond and pause are the engines' tokens read in a second, and the seconds
-	// between two tokens of one that is alone.
+	// everRead holds the parts that some engine has read.
+	everRead   map[uint64]bool
+	kinds      []requestKind
+	rateFactor func(at time.Duration) float64
+	stats      engineStats
+	// shiftedShare is the share of callers that come to the first data centre.
+	shiftedShare float64
+	// breakShare is the share of requests that break at the engines with breaks set.
+	breakShare float64
+	// readPerSecond is how many tokens an engine reads in a second; pause is the time
+	// between two tokens of a request that runs alone, in seconds.
 	readPerSecond, pause float64
 }
 
-// requestKind is one of the users' kinds of request: a common opening, one of so many
-// sessions, a prompt of its own, and an answer.
+// requestKind is one of the users' kinds of request: one of several common openings, one
+// of several sessions, a prompt of its own, and an answer.
 type requestKind struct {
 	perSecond         float64
 	openings, opening int
 	sessions, session int
 	prompt, tokens    int
-	aim               time.Duration
+	deadline          time.Duration
 	hotFrom, hotTo    time.Duration
-	hotPart           float64
+	hotShare          float64
 }
 
-// The users' three kinds, and their engines: tokens read in a second, the pause between
-// two tokens alone and what each further request adds, and the tokens that are copied
-// in a second.
+// userKinds returns the users' three kinds of request. The constants below describe their
+// engines: tokens read in a second, the pause between two tokens of a request alone and
+// what each further request adds, and tokens copied in a second.
 func userKinds() []requestKind {
 	return []requestKind{
-		{perSecond: 526, openings: 4, opening: 2520, sessions: 1790, session: 6100, prompt: 580, tokens: 52, aim: 600 * time.Millisecond},
-		{perSecond: 367, openings: 160, opening: 341, sessions: 1247, session: 1700, prompt: 360, tokens: 22, aim: 500 * time.Millisecond},
-		{perSecond: 279, openings: 160, opening: 103, sessions: 947, session: 500, prompt: 110, tokens: 280, aim: 400 * time.Millisecond},
+		{perSecond: 526, openings: 4, opening: 2520, sessions: 1790, session: 6100, prompt: 580, tokens: 52, deadline: 600 * time.Millisecond},
+		{perSecond: 367, openings: 160, opening: 341, sessions: 1247, session: 1700, prompt: 360, tokens: 22, deadline: 500 * time.Millisecond},
+		{perSecond: 279, openings: 160, opening: 103, sessions: 947, session: 500, prompt: 110, tokens: 280, deadline: 400 * time.Millisecond},
 	}
 }
 
@@ -59,7 +59,7 @@
 	copiedPerSecond = 140000.0
 	tokenPause      = 5.55e-3
 	tokenPauseMore  = 0.029e-3
-	// capFactor and capSlack are what the users allow an engine above the mean.
+	// capFactor and capSlack are what users allow an engine above the mean.
 	capFactor, capSlack = 2.0, 3.0
 )
 
@@ -67,67 +67,69 @@
 	id      string
 	centre  string
 	running int
-	// reading is until when it reads what it was given.
-	reading time.Time
-	keeps   map[uint64]bool
-	// gone: it refuses. drains: it is listed no more. breaks: some of what it runs breaks.
-	gone, drains, breaks bool
+	// busyUntil is when the engine will have read all that it was given.
+	busyUntil time.Time
+	holds     map[uint64]bool
+	// refuses: connections are refused. unlisted: no longer listed. breaks: some of its
+	// requests break.
+	refuses, unlisted, breaks bool
 }
 
-// engineStats are what callers got and what it took.
+// engineStats counts what callers got and what it cost.
 type engineStats struct {
-	asked, inAim, late, failed, broken int
-	// over are when requests arrived at an engine above what the users allow, arrivals
-	// when any did.
-	over, arrivals []time.Time
-	// read, again and copied are tokens; of again, openings are those of openings, and
-	// lost those that no engine holds any more which once read them.
-	read, again, copied int
-	openings, lost      int
-	diverted            int
+	asked, onTime, late, failed, broken int
+	// overLimit holds the times of arrivals at an engine above what users allow, arrivals
+	// those of all arrivals.
+	overLimit, arrivals []time.Time
+	// read, reread and copied count tokens. openings is the part of reread that belongs
+	// to openings; lost counts tokens read again since no running engine holds them any
+	// more.
+	read, reread, copied int
+	openings, lost       int
+	diverted             int
 }
 
-// centres is how many data centres there are.
+// centres is the number of data centres.
 const centres = 5
 
-// usualEngines is how many engines the users' kinds of request are for.
-const usualEngines = 240
+// baselineEngines is how many engines the users' rates are for.
+const baselineEngines = 240
 
-// shiftedKinds are the users' whose work has shifted: fewer, longer prompts of more callers
-// before 90 engines in three data centres.
-func shiftedKinds() []requestKind {
+// longPromptKinds returns the kinds of a shifted workload: fewer, longer prompts from
+// more callers, for 90 engines in three data centres.
+func longPromptKinds() []requestKind {
 	return []requestKind{
-		{perSecond: 149, openings: 4, opening: 2520, sessions: 589, session: 6100, prompt: 580, tokens: 50, aim: 600 * time.Millisecond},
-		{perSecond: 183, openings: 4, opening: 341, sessions: 184, session: 1700, prompt: 360, tokens: 25, aim: 500 * time.Millisecond},
-		{perSecond: 114, openings: 8, opening: 103, sessions: 200, session: 500, prompt: 110, tokens: 280, aim: 400 * time.Millisecond},
+		{perSecond: 149, openings: 4, opening: 2520, sessions: 589, session: 6100, prompt: 580, tokens: 50, deadline: 600 * time.Millisecond},
+		{perSecond: 183, openings: 4, opening: 341, sessions: 184, session: 1700, prompt: 360, tokens: 25, deadline: 500 * time.Millisecond},
+		{perSecond: 114, openings: 8, opening: 103, sessions: 200, session: 500, prompt: 110, tokens: 280, deadline: 400 * time.Millisecond},
 	}
 }
 
-// palletKinds are those of users with many short requests, at 89 fast engines that run two
-// each in the mean.
-func palletKinds() []requestKind {
+// shortRequestKinds returns the kinds of users with many short requests, for 89 fast
+// engines that run two each on average.
+func shortRequestKinds() []requestKind {
 	return []requestKind{
-		{perSecond: 346, openings: 4, opening: 2520, sessions: 505, session: 6100, prompt: 580, tokens: 52, aim: 400 * time.Millisecond},
-		{perSecond: 370, openings: 40, opening: 341, sessions: 1218, session: 1700, prompt: 360, tokens: 22, aim: 400 * time.Millisecond},
-		{perSecond: 84, openings: 80, opening: 103, sessions: 183, session: 500, prompt: 110, tokens: 280, aim: 300 * time.Millisecond},
+		{perSecond: 346, openings: 4, opening: 2520, sessions: 505, session: 6100, prompt: 580, tokens: 52, deadline: 400 * time.Millisecond},
+		{perSecond: 370, openings: 40, opening: 341, sessions: 1218, session: 1700, prompt: 360, tokens: 22, deadline: 400 * time.Millisecond},
+		{perSecond: 84, openings: 80, opening: 103, sessions: 183, session: 500, prompt: 110, tokens: 280, deadline: 300 * time.Millisecond},
 	}
 }
 
-// newEngineFleet has so much asked of the engines as the users ask of theirs.
+// newEngineFleet scales the users' rates to the number of engines.
 func newEngineFleet(seed uint64, routers, lines, engines int) *engineFleet {
 	f := &engineFleet{
-		tellingFleet: newTellingFleet(seed, routers, lines),
-		engines:      make(map[string]*simEngine),
-		once:         make(map[uint64]bool),
-		kinds:        userKinds(),
-		times:        func(time.Duration) float64 { return 1 },
+		gossipFleet: newGossipFleet(seed, routers, lines),
+		engines:     make(map[string]*simEngine),
+		everRead:    make(map[uint64]bool),
+		kinds:       userKinds(),
+		rateFactor:  func(time.Duration) float64 { return 1 },
 
 		readPerSecond: readPerSecond,
 		pause:         tokenPause,
 	}
 	for i := range f.kinds {
-		f.kinds[i].perSecond *= float64(engines) / usualEngines
-		f.kinds[i].sessions = f.kinds[i].sessions * engines / usualEngines
+		f.kinds[i].perSecond *= float64(engines) / baselineEngines
+		f.kinds[i].sessions = f.kinds[i].sessions * engines / baselineEngines
 	}
 	for i := range engines {
 		f.add(fmt.Sprintf("e-%d", i), fmt.Sprintf("dc%d", i%centres))
@@ -137,14 +139,14 @@
 }
 
 func (f *engineFleet) add(id, centre string) {
-	f.engines[id] = &simEngine{id: id, centre: centre, keeps: make(map[uint64]bool)}
+	f.engines[id] = &simEngine{id: id, centre: centre, holds: make(map[uint64]bool)}
 }
 
-// list gives all routers the engines that are there.
+// list sends the current engines to all routers.
 func (f *engineFleet) list() {
 	var list []directory.Replica
 	for id, e := range f.engines {
-		if !e.gone && !e.drains {
+		if !e.refuses && !e.unlisted {
 			list = append(list, directory.Replica{ID: id, Service: "llm", Address: id, DataCentre: e.centre, Slots: 32})
 		}
 	}
@@ -154,9 +156,9 @@
 	}
 }
 
-// burst multiplies what is asked for a time.
+// burst multiplies the request rate for a time.
 func (f *engineFleet) burst(from, to time.Duration, times float64) {
-	f.times = func(at time.Duration) float64 {
+	f.rateFactor = func(at time.Duration) float64 {
 		if at >= from && at < to {
 			return times
 		}
@@ -164,73 +166,72 @@
 	}
 }
 
-// hot has one session draw a part of a kind for a time.
+// hot lets one session draw a share of a kind for a time.
 func (f *engineFleet) hot(kind int, part float64, from, to time.Duration) {
 	k := &f.kinds[kind]
-	k.hotPart, k.hotFrom, k.hotTo = part, from, to
+	k.hotShare, k.hotFrom, k.hotTo = part, from, to
 }
 
-// shift has a part of the callers come to the routers of one data centre from a time on.
+// shift moves a share of the callers to the routers of one data centre.
 func (f *engineFleet) shift(from time.Duration, part float64) {
-	f.after(from, func() { f.shifted = part })
+	f.after(from, func() { f.shiftedShare = part })
 }
 
-// crash has one in so many engines refuse from a time on; the list tells later.
+// crash makes one in oneIn engines refuse; the list shows it later.
 func (f *engineFleet) crash(at, listed time.Duration, oneIn int) {
 	f.after(at, func() {
 		for i := 0; i < len(f.engines); i += oneIn {
-			f.engines[fmt.Sprintf("e-%d", i)].gone = true
+			f.engines[fmt.Sprintf("e-%d", i)].refuses = true
 		}
 	})
 	f.after(at+listed, f.list)
 }
 
-// lose has the engines of a data centre refuse from a time on; the list tells later.
-func (f *engineFleet) lose(at, listed time.Duration, centre string) {
+// loseDataCentre makes the engines of a data centre refuse; the list shows it later.
+func (f *engineFleet) loseDataCentre(at, listed time.Duration, centre string) {
 	f.after(at, func() {
 		for _, e := range f.engines {
-			e.gone = e.gone || e.centre == centre
+			e.refuses = e.refuses || e.centre == centre
 		}
 	})
 	f.after(at+listed, f.list)
 }
 
-// release replaces some engines from a time on, one after the other: the new one is listed
-// first.
+// release replaces some engines one after the other; each new one is listed first.
 func (f *engineFleet) release(from, gap time.Duration, engines int) {
 	for i := range engines {
 		f.after(from+time.Duration(i)*gap, func() {
 			old := f.engines[fmt.Sprintf("e-%d", i)]
 			f.add(fmt.Sprintf("new-%d", i), old.centre)
-			old.drains = true
+			old.unlisted = true
 			f.list()
 		})
 	}
 }
 
-// breakOff has a part of the requests break at a part of the engines for a time.
-func (f *engineFleet) breakOff(from, to time.Duration, engines, requests float64) {
+// breakStreams breaks a share of the requests at a share of the engines for a time.
+func (f *engineFleet) breakStreams(from, to time.Duration, engines, requests float64) {
 	f.after(from, func() {
-		f.breaking = requests
+		f.breakShare = requests
 		ids := slices.Sorted(maps.Keys(f.engines))
 		for n, id := range ids {
 			f.engines[id].breaks = float64(n) < engines*float64(len(ids))
 		}
 	})
-	f.after(to, func() { f.breaking = 0 })
+	f.after(to, func() { f.breakShare = 0 })
 }
 
-// router draws one for a request.
+// router draws a router for a request.
 func (f *engineFleet) router() int {
 	router := f.random.IntN(len(f.routers))
-	if f.random.Float64() < f.shifted {
+	if f.random.Float64() < f.shiftedShare {
 		router -= router % centres
 	}
 	return router
 }
 
-// play plays for a time; what is counted begins after the first part of it.
-func (f *engineFleet) play(warm, length time.Duration) engineStats {
+// simulate runs the fleet; counting begins after the warm-up.
+func (f *engineFleet) simulate(warm, length time.Duration) engineStats {
 	for i := range f.kinds {
 		f.after(0, func() { f.arrive(i) })
 	}
@@ -243,9 +244,9 @@
 func (f *engineFleet) arrive(kind int) {
 	k := &f.kinds[kind]
 	at := f.now.Sub(start)
-	f.after(time.Duration(f.random.ExpFloat64()/(k.perSecond*f.times(at))*float64(time.Second)), func() { f.arrive(kind) })
+	f.after(time.Duration(f.random.ExpFloat64()/(k.perSecond*f.rateFactor(at))*float64(time.Second)), func() { f.arrive(kind) })
 	session := f.random.IntN(k.sessions)
-	if at >= k.hotFrom && at < k.hotTo && f.random.Float64() < k.hotPart {
+	if at >= k.hotFrom && at < k.hotTo && f.random.Float64() < k.hotShare {
 		session = 0
 	}
 	parts := []Part{
@@ -265,13 +266,13 @@
 		return
 	}
 	e := f.engines[choice.Replica.ID]
-	if e.gone {
+	if e.refuses {
 		b.RequestFailed(e.id, Refused, "", f.now)
 		f.send(k, router, parts, append(tried, e.id), arrived)
 		return
 	}
 	f.stats.arrivals = append(f.stats.arrivals, f.now)
-	f.look(e)
+	f.countOverLimit(e)
 	if choice.PassedOver != "" {
 		f.stats.diverted++
 	}
@@ -279,8 +280,8 @@
 	e.running++
 	first := f.read(e, f.engines[choice.CopySource], parts)
 	f.after(first, func() {
-		if f.now.Sub(arrived) <= k.aim {
-			f.stats.inAim++
+		if f.now.Sub(arrived) <= k.deadline {
+			f.stats.onTime++
 		} else {
 			f.stats.late++
 		}
@@ -288,7 +289,7 @@
 		b.LoadReported(e.id, e.running, f.now)
 	})
 	made := float64(k.tokens) * f.random.ExpFloat64()
-	broken := e.breaks && f.breaking > 0 && f.random.Float64() < f.breaking
+	broken := e.breaks && f.breakShare > 0 && f.random.Float64() < f.breakShare
 	if broken {
 		made *= f.random.Float64()
 	}
@@ -303,77 +304,77 @@
 	})
 }
 
-// look counts an arrival at an engine that holds more than the users allow.
-func (f *engineFleet) look(e *simEngine) {
+// countOverLimit counts an arrival at an engine that has more than users allow.
+func (f *engineFleet) countOverLimit(e *simEngine) {
 	total, engines := 0, 0
 	for _, other := range f.engines {
-		if !other.gone {
+		if !other.refuses {
 			total += other.running
 			engines++
 		}
 	}
 	if float64(e.running) > capFactor*float64(total)/float64(engines)+capSlack {
-		f.stats.over = append(f.stats.over, f.now)
+		f.stats.overLimit = append(f.stats.overLimit, f.now)
 	}
 }
 
-// read has an engine copy and read what it lacks, and returns how long that takes.
+// read lets an engine copy and read what it lacks, and returns how long that takes.
 func (f *engineFleet) read(e, source *simEngine, parts []Part) time.Duration {
 	seconds := 0.0
 	whole := true
 	for i, p := range parts {
-		if whole = whole && e.keeps[p.ID]; whole {
+		if whole = whole && e.holds[p.ID]; whole {
 			continue
 		}
 		shared := i < len(parts)-1
-		if shared && source != nil && !source.gone && source.keeps[p.ID] {
+		if shared && source != nil && !source.refuses && source.holds[p.ID] {
 			f.stats.copied += p.Tokens
 			seconds += float64(p.Tokens) / copiedPerSecond
 		} else {
 			f.stats.read += p.Tokens
 			seconds += float64(p.Tokens) / f.readPerSecond
-			if shared && f.kept(p.ID) {
-				f.stats.again += p.Tokens
+			if shared && f.isHeld(p.ID) {
+				f.stats.reread += p.Tokens
 				if i == 0 {
 					f.stats.openings += p.Tokens
 				}
-			} else if shared && f.once[p.ID] {
+			} else if shared && f.everRead[p.ID] {
 				f.stats.lost += p.Tokens
 			}
 		}
 		if shared {
-			e.keeps[p.ID], f.once[p.ID] = true, true
+			e.holds[p.ID], f.everRead[p.ID] = true, true
 		}
 	}
 	begins := f.now
-	if e.reading.After(begins) {
-		begins = e.reading
+	if e.busyUntil.After(begins) {
+		begins = e.busyUntil
 	}
-	e.reading = begins.Add(time.Duration(seconds * float64(time.Second)))
-	return e.reading.Sub(f.now) + time.Duration(math.Ceil(f.pause*float64(time.Second)))
+	e.busyUntil = begins.Add(time.Duration(seconds * float64(time.Second)))
+	return e.busyUntil.Sub(f.now) + time.Duration(math.Ceil(f.pause*float64(time.Second)))
 }
 
-// kept tells whether some engine keeps a part.
-func (f *engineFleet) kept(part uint64) bool {
+// isHeld reports whether some engine holds a part.
+func (f *engineFleet) isHeld(part uint64) bool {
 	for _, e := range f.engines {
-		if !e.gone && e.keeps[part] {
+		if !e.refuses && e.holds[part] {
 			return true
 		}
 	}
 	return false
 }
 
-// worstOver returns the greatest share of arrivals above what the users allow in any
-// five seconds.
+// worstOver returns the largest share of arrivals above what users allow in any five
+// seconds.
 func (s *engineStats) worstOver() float64 {
 	const window = 5 * time.Second
 	worst := 0.0
-	for i, from := range s.over {
+	for i, from := range s.overLimit {
 		to := from.Add(window)
-		over, _ := slices.BinarySearchFunc(s.over, to, time.Time.Compare)
+		over, _ := slices.BinarySearchFunc(s.overLimit, to, time.Time.Compare)
 		first, _ := slices.BinarySearchFunc(s.arrivals, from, time.Time.Compare)
 		last, _ := slices.BinarySearchFunc(s.arrivals, to, time.Time.Compare)
-		// What came before the window's end only.
+		// Only windows that end before the last arrival count.
 		if last < len(s.arrivals) {
 			worst = max(worst, float64(over-i)/float64(last-first))
 		}
--- a/pkg/balance/evidence_test.go
+++ b/pkg/balance/evidence_test.go
@@ -11,8 +11,8 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// serve lets each engine answer some requests well.
-func serve(b *Balancer, engines, times int, now time.Time) {
+// succeedAll lets each engine answer some requests successfully.
+func succeedAll(b *Balancer, engines, times int, now time.Time) {
 	for range times {
 		for i := range engines {
 			b.RequestSucceeded(fmt.Sprintf("i-%d", i), nil, now)
@@ -23,7 +23,7 @@
 func TestAnEngineThatFailsMoreThanTheOthersIsAvoided(t *testing.T) {
 	for _, kind := range []Failure{Errored, Broke} {
 		b, other := newBalancer(engines(12)), newBalancer(engines(12))
-		serve(b, 12, 4, start)
+		succeedAll(b, 12, 4, start)
 		for range 3 {
 			b.RequestFailed("i-4", kind, "dc0", start)
 		}
@@ -34,11 +34,12 @@
 	}
 }
 
-// One answer in thirty was lost at half of the engines: each was avoided for it,
-// and its parts were copied elsewhere and back.
+// Guards against avoiding engines for occasional failures. When one answer in thirty was
+// lost at half of the engines, each was avoided for it, and its parts were copied
+// elsewhere and back.
 func TestOccasionalFailureIsIgnored(t *testing.T) {
 	b := newBalancer(engines(12))
-	serve(b, 12, 10, start)
+	succeedAll(b, 12, 10, start)
 	b.RequestFailed("i-4", Broke, "dc0", start)
 	assert.False(t, b.Suspected("i-4", start))
 	b.RequestFailed("i-4", Errored, "dc0", start.Add(3*outcomeDecayTime))
@@ -49,8 +50,9 @@
 	for _, large := range []bool{false, true} {
 		b := newBalancer(engines(12))
 		b.SetLargeFleet(large)
-		serve(b, 12, 3, start)
-		// Interleaved, so that all rise together as in a fault of the whole service.
+		succeedAll(b, 12, 3, start)
+		// Interleaved, so that all counts rise together as in a fault of the whole
+		// service.
 		for range 2 {
 			for i := range 12 {
 				b.serviceOutcomes("llm").addFailure(start)
@@ -64,7 +66,7 @@
 
 func TestRecentlyFailedReplicaIsAvoidedAfterOneFailure(t *testing.T) {
 	b := newBalancer(engines(12))
-	serve(b, 12, 4, start)
+	succeedAll(b, 12, 4, start)
 	for range 3 {
 		b.RequestFailed("i-4", Errored, "dc0", start)
 	}
@@ -76,7 +78,7 @@
 
 func TestSingleLostAnswerIsNotAHang(t *testing.T) {
 	b := newBalancer(engines(12))
-	serve(b, 12, 4, start)
+	succeedAll(b, 12, 4, start)
 	soon := start.Add(100 * time.Millisecond)
 	b.RequestFailed("i-4", Hung, "dc0", soon)
 	assert.False(t, b.Suspected("i-4", soon), "it has just answered another")
@@ -86,11 +88,12 @@
 	assert.True(t, b.Suspected("i-5", start.Add(1100*time.Millisecond)), "two, and no answer between them")
 }
 
-// What is told in a large fleet is judged by whoever saw it, and is passed on once.
+// In a large fleet a rumor is judged by the router that saw the failure, and is forwarded
+// once.
 func TestLargeFleetDoesNotForwardInsignificantFailures(t *testing.T) {
 	b := newBalancer(engines(12))
 	b.SetLargeFleet(true)
-	serve(b, 12, 1, start)
+	succeedAll(b, 12, 1, start)
 	for range 8 {
 		b.serviceOutcomes("llm").addFailure(start)
 	}
@@ -105,9 +108,9 @@
 	assert.Empty(t, other.TakePeerUpdate(start).Failures)
 }
 
-// One answer that was lost is no hang, here or at the routers of a large fleet, which believe
-// what they are told. Those of a small one judge for themselves: of two such answers that two
-// routers saw, each makes a hang.
+// Guards against treating one lost answer as a hang, here or at the routers of a large
+// fleet, which believe what they are told. Routers of a small fleet judge for themselves:
+// two such answers, seen by two routers, make a hang.
 func TestLostAnswerIsReportedAsBroken(t *testing.T) {
 	b := New(1)
 	b.SetLargeFleet(true)
--- a/pkg/balance/load_test.go
+++ b/pkg/balance/load_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// largeFleet returns balancers of which each tells the next one only.
+// largeFleet returns balancers of a large fleet, each of which reports only to the next
+// one.
 func largeFleet(n int) []*Balancer {
 	var list []*Balancer
 	for range n {
@@ -19,7 +20,7 @@
 	return list
 }
 
-// promptsOf returns prompts of one home, each of another session.
+// promptsOf returns prompts with the same home, each of a different session.
 func promptsOf(t *testing.T, b *Balancer, home string, n int) [][]Part {
 	t.Helper()
 	var prompts [][]Part
@@ -34,7 +35,7 @@
 func TestLoadIncludesOtherLines(t *testing.T) {
 	list := largeFleet(4)
 	home := pick(t, list[0], prompt(5), start).Replica.ID
-	// A session whose home was seen to be full is spread for a while: others tell what
+	// A session whose home was full stays spread for a while, so other sessions show what
 	// the counts say now.
 	others := promptsOf(t, list[0], home, 2)
 	for i, b := range list[:3] {
@@ -42,7 +43,7 @@
 			b.RequestStarted(home)
 		}
 	}
-	// The first three are one line, of which the third tells the fourth.
+	// The first three form one line, of which the third reports to the fourth.
 	for i, b := range list[:2] {
 		list[2].MergePeer(fmt.Sprint(i), b.TakePeerUpdate(start), start)
 	}
@@ -98,7 +99,7 @@
 	assertLoads(t, fewer, map[string]float64{"i-3": 5, "i-0": 1}, 8)
 }
 
-// assertLoads checks the loads of some replicas and the sum of all.
+// assertLoads checks the loads of some replicas and the sum over all.
 func assertLoads(t *testing.T, b *Balancer, wants map[string]float64, total float64) {
 	t.Helper()
 	b.mu.Lock()
@@ -113,8 +114,9 @@
 	assert.InDelta(t, total, sum, 1e-9, "nothing is lost")
 }
 
-// The same failure comes on several ways, later on some. It was taken for another
-// one when it came over 50 ms later, and went round and round on narrow links.
+// Guards against rumors that circulate forever. The same failure arrives on several
+// paths, later on some. It was taken for another one when it arrived over 50 ms later,
+// and kept circulating on narrow links.
 func TestDuplicateRumorIsForwardedOnce(t *testing.T) {
 	b := largeFleet(1)[0]
 	for _, late := range []time.Duration{0, 3 * time.Millisecond, 300 * time.Millisecond} {
--- a/pkg/balance/near_test.go
+++ b/pkg/balance/near_test.go
@@ -11,8 +11,8 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// small is a prompt with few shared tokens.
-func small(part uint64) []Part {
+// smallPrompt returns a prompt with few shared tokens.
+func smallPrompt(part uint64) []Part {
 	return []Part{{ID: 1, Tokens: 300}, {ID: 1000 + part, Tokens: 400}, {ID: 99999, Tokens: 500}}
 }
 
@@ -21,18 +21,19 @@
 	return c
 }
 
-// Streams that crossed data centres broke off or fell silent when one was cut off.
+// Guards against streams between data centres, which broke off or fell silent when one
+// was cut off.
 func TestASmallPromptIsKeptInEachDataCentre(t *testing.T) {
 	b := newBalancer(engines(12))
-	first := pickFrom(b, "dc0", small(5))
+	first := pickFrom(b, "dc0", smallPrompt(5))
 	assert.Equal(t, "dc0", first.Replica.DataCentre)
-	b.RequestSucceeded(first.Replica.ID, small(5), start)
-	other := pickFrom(b, "dc1", small(5))
+	b.RequestSucceeded(first.Replica.ID, smallPrompt(5), start)
+	other := pickFrom(b, "dc1", smallPrompt(5))
 	assert.Equal(t, "dc1", other.Replica.DataCentre)
 	assert.Equal(t, first.Replica.Address, other.CopySource, "copied, not read again")
-	b.RequestSucceeded(other.Replica.ID, small(5), start)
-	assert.Equal(t, other.Replica.ID, pickFrom(b, "dc1", small(5)).Replica.ID)
-	assert.Equal(t, first.Replica.ID, pickFrom(b, "dc0", small(5)).Replica.ID, "each its own")
+	b.RequestSucceeded(other.Replica.ID, smallPrompt(5), start)
+	assert.Equal(t, other.Replica.ID, pickFrom(b, "dc1", smallPrompt(5)).Replica.ID)
+	assert.Equal(t, first.Replica.ID, pickFrom(b, "dc0", smallPrompt(5)).Replica.ID, "each its own")
 }
 
 func TestALargePromptHasOneHomeInTheFleet(t *testing.T) {
@@ -44,7 +45,7 @@
 	}
 }
 
-// Holders in several data centres are left by diversions, bursts and cuts.
+// Holders in several data centres remain after diversions, bursts and network partitions.
 func TestAHolderInTheOwnDataCentreComesFirst(t *testing.T) {
 	b := newBalancer(engines(12))
 	for _, id := range []string{"i-0", "i-1", "i-2"} {
@@ -62,13 +63,13 @@
 			b.RequestStarted(id)
 		}
 	}
-	c := pickFrom(b, "dc0", small(5))
+	c := pickFrom(b, "dc0", smallPrompt(5))
 	assert.NotEqual(t, "dc0", c.Replica.DataCentre, fmt.Sprint(c.Load, c.Bound))
-	assert.NotEmpty(t, pickFrom(b, "elsewhere", small(5)).Replica.ID)
+	assert.NotEmpty(t, pickFrom(b, "elsewhere", smallPrompt(5)).Replica.ID)
 }
 
-// Some never say that they drain: their entry goes, and they serve on for seconds.
-// What they held was read again elsewhere, though it could be copied.
+// Some replicas never announce that they drain: their entry goes, and they keep serving
+// for seconds. Their parts were read again elsewhere, though they could be copied.
 func TestUnlistedReplicaIsCopiedFromForAWhile(t *testing.T) {
 	list := engines(12)
 	b := newBalancer(list)
--- a/pkg/balance/plain_test.go
+++ b/pkg/balance/plain_test.go
@@ -6,10 +6,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A plain service of three replicas got the work of 78 routers at one of them after
-// the other: each router took the one that all had been told was the least loaded,
-// a round of telling ago. In one second 398, 164 and 66 requests came to them, and
-// those that were full turned away 1,189 of 12,746 in the day.
+// Guards against filling one replica after the other. A plain service of three replicas
+// got the requests of 78 routers at one replica at a time: each router took the one that
+// had been reported as the least loaded, one gossip round ago. In one second 398, 164 and
+// 66 requests reached them, and the full ones turned away 1,189 of 12,746 requests in
+// all.
 func TestLargeFleetSpreadsPlainRequests(t *testing.T) {
 	const routers = 300
 	told := PeerUpdate{Running: []ReplicaCount{{ReplicaHash("i-0"), 6}, {ReplicaHash("i-1"), 12}, {ReplicaHash("i-2"), 0}}}
--- a/pkg/balance/plainfleet_test.go
+++ b/pkg/balance/plainfleet_test.go
@@ -10,25 +10,25 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// plainFleet plays a large fleet of routers before a plain service whose replicas work
-// on some requests, queue some more and turn the rest away.
+// plainFleet simulates a large fleet of routers in front of a plain service whose
+// replicas run some requests, queue some more and turn the rest away.
 type plainFleet struct {
-	*tellingFleet
+	*gossipFleet
 	replicas map[string]*plainReplica
-	// perSecond are the requests of all callers, by when.
+	// perSecond returns the request rate of all callers at a time.
 	perSecond func(at time.Duration) float64
 	stats     plainStats
 }
 
-// The users' plain service: ten replicas of six slots and a queue of 24, 410 requests a
-// second that take 60 ms in the mean and are wanted within 300 ms.
+// The users' plain service: ten replicas with six slots and a queue of 24, and 410
+// requests a second that take 60 ms on average and must be served within 300 ms.
 const (
-	plainSlots = 6
-	plainQueue = 24
-	plainRate  = 410.0
-	plainWork  = 60 * time.Millisecond
-	plainAim   = 300 * time.Millisecond
-	// plainSpread is the standard deviation of the logarithm of the work.
+	plainSlots    = 6
+	plainQueue    = 24
+	plainRate     = 410.0
+	plainWorkTime = 60 * time.Millisecond
+	plainDeadline = 300 * time.Millisecond
+	// plainSpread is the standard deviation of the logarithm of the work time.
 	plainSpread = 0.47
 )
 
@@ -45,18 +45,18 @@
 	tried   []string
 }
 
-// plainStats are what callers got.
+// plainStats counts what callers got.
 type plainStats struct {
-	asked, inAim, late, refused int
-	// sent counts what was sent to replicas, shed what they turned away.
+	asked, onTime, late, refused int
+	// sent counts requests sent to replicas, shed those that they turned away.
 	sent, shed int
 }
 
 func newPlainFleet(seed uint64, routers, replicas int) *plainFleet {
 	f := &plainFleet{
-		tellingFleet: newTellingFleet(seed, routers, 16),
-		replicas:     make(map[string]*plainReplica),
-		perSecond:    func(time.Duration) float64 { return plainRate },
+		gossipFleet: newGossipFleet(seed, routers, 16),
+		replicas:    make(map[string]*plainReplica),
+		perSecond:   func(time.Duration) float64 { return plainRate },
 	}
 	for i := range replicas {
 		id := fmt.Sprintf("p-%d", i)
@@ -66,7 +66,7 @@
 	return f
 }
 
-// list gives all routers the replicas that are there.
+// list sends the current replicas to all routers.
 func (f *plainFleet) list() {
 	var list []directory.Replica
 	for id, r := range f.replicas {
@@ -90,7 +90,7 @@
 	}
 }
 
-// replace has a replica go, and another one come unless its id is empty.
+// replace removes a replica and, unless fresh is empty, adds another one.
 func (f *plainFleet) replace(old, fresh string) {
 	f.replicas[old].gone = true
 	if fresh != "" {
@@ -99,8 +99,8 @@
 	f.list()
 }
 
-// play plays for a time and returns what callers got.
-func (f *plainFleet) play(length time.Duration) plainStats {
+// simulate runs the fleet and returns what callers got.
+func (f *plainFleet) simulate(length time.Duration) plainStats {
 	f.after(0, f.arrive)
 	f.run(length)
 	return f.stats
@@ -113,7 +113,7 @@
 	f.send(&plainRequest{router: f.random.IntN(len(f.routers)), arrived: f.now})
 }
 
-// send asks a replica, and another one if that is full.
+// send picks a replica, and another one if that is full.
 func (f *plainFleet) send(r *plainRequest) {
 	router := f.routers[r.router]
 	choice, found := router.Pick(Request{Service: "plain", DataCentre: fmt.Sprintf("dc%d", r.router%5), Tried: r.tried}, f.now)
@@ -133,27 +133,27 @@
 	}
 	router.RequestStarted(id)
 	replica.waiting = append(replica.waiting, r)
-	f.work(replica)
+	f.startWork(replica)
 }
 
-// work has a replica begin what it has slots for.
-func (f *plainFleet) work(replica *plainReplica) {
+// startWork starts queued requests while the replica has free slots.
+func (f *plainFleet) startWork(replica *plainReplica) {
 	for replica.running < plainSlots && len(replica.waiting) > 0 {
 		r := replica.waiting[0]
 		replica.waiting = replica.waiting[1:]
 		replica.running++
-		mean := plainWork.Seconds() * math.Exp(-plainSpread*plainSpread/2)
+		mean := plainWorkTime.Seconds() * math.Exp(-plainSpread*plainSpread/2)
 		took := time.Duration(mean * math.Exp(plainSpread*f.random.NormFloat64()) * float64(time.Second))
 		f.after(took, func() {
 			replica.running--
 			f.routers[r.router].RequestFinished(replica.id)
 			f.routers[r.router].RequestSucceeded(replica.id, nil, f.now)
-			if f.now.Sub(r.arrived) <= plainAim {
-				f.stats.inAim++
+			if f.now.Sub(r.arrived) <= plainDeadline {
+				f.stats.onTime++
 			} else {
 				f.stats.late++
 			}
-			f.work(replica)
+			f.startWork(replica)
 		})
 	}
 }
--- a/pkg/balance/plainload_test.go
+++ b/pkg/balance/plainload_test.go
@@ -8,17 +8,18 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Patterns of load at a plain service of ten replicas before 295 routers, whose counts
-// of each other are up to 1.2 s old while a request takes 60 ms. Each case says what
-// callers are to get of it. At the usual rate 41 in 100 places are taken.
+// Checks load patterns at a plain service of ten replicas behind 295 routers, whose
+// counts of each other are up to 1.2 s old while a request takes 60 ms. Each case states
+// what callers must get. At the usual rate 41 in 100 slots are taken.
 func TestLoadAtAPlainServiceOfTenReplicas(t *testing.T) {
 	const routers, replicas, length = 295, 10, 10 * time.Second
-	// fits is what the replicas work off in half a second and can queue beside.
+	// fits is how many requests the replicas can finish in half a second and queue
+	// besides.
 	const fits = replicas * (plainSlots*500/60 + plainQueue)
 	cases := map[string]struct {
 		change func(f *plainFleet)
-		// inAim is the least share of what callers asked for that is served in time, shed
-		// the most that replicas turn away, refused the most that callers are refused.
+		// inAim is the least share of requests that must be served in time, shed the most
+		// that replicas may turn away, refused the most that callers may be refused.
 		inAim         float64
 		shed, refused int
 	}{
@@ -27,18 +28,20 @@
 			inAim:  0.99,
 		},
 		"a burst of 1.7 for 3 s": {
-			// 70 in 100 places are taken: all are served if they are spread evenly.
+			// 70 in 100 slots are taken: all requests are served if they are spread
+			// evenly.
 			change: func(f *plainFleet) { f.burst(3*time.Second, 6*time.Second, 1.7) },
 			inAim:  0.99,
 		},
 		"twice the rate, all the time": {
-			// 82 in 100 places: some replica is full now and then, and another one takes it.
+			// 82 in 100 slots: some replica is full occasionally, and another one takes
+			// the request.
 			change: func(f *plainFleet) { f.burst(0, length, 2) },
 			inAim:  0.95, shed: 200, refused: 20,
 		},
 		"four of ten are replaced, one a second": {
-			// One that is new is told to be idle for up to 1.2 s: if all took it for that it
-			// would be filled.
+			// A new replica is reported as idle for up to 1.2 s: if all routers took it
+			// for that it would be filled.
 			change: func(f *plainFleet) {
 				for i := range 4 {
 					f.after(time.Duration(3+i)*time.Second, func() { f.replace(fmt.Sprintf("p-%d", i), fmt.Sprintf("p-new-%d", i)) })
@@ -56,8 +59,8 @@
 			inAim: 0.98,
 		},
 		"everything returns after a restart": {
-			// Five times the rate for half a second, by routers that know nothing: what does
-			// not fit is refused at once, and not much more than that.
+			// Five times the rate for half a second, from routers without any counts:
+			// what does not fit is refused at once, and not much more than that.
 			change: func(f *plainFleet) { f.burst(0, 500*time.Millisecond, 5) },
 			inAim:  0.88, shed: 1000, refused: 13 * (5*int(plainRate)/2 - fits) / 10,
 		},
@@ -67,9 +70,9 @@
 			t.Parallel()
 			f := newPlainFleet(1, routers, replicas)
 			c.change(f)
-			got := f.play(length)
+			got := f.simulate(length)
 			t.Logf("%+v", got)
-			assert.GreaterOrEqual(t, float64(got.inAim)/float64(got.asked), c.inAim)
+			assert.GreaterOrEqual(t, float64(got.onTime)/float64(got.asked), c.inAim)
 			assert.LessOrEqual(t, got.shed, c.shed)
 			assert.LessOrEqual(t, got.refused, c.refused)
 			assert.LessOrEqual(t, got.sent, got.asked+got.shed, "a request is sent again only when it was turned away")
--- a/pkg/balance/rest_test.go
+++ b/pkg/balance/rest_test.go
@@ -9,8 +9,8 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// Guards against a replica getting its whole share in the moment in which its rest ends,
-// and against it getting less for long.
+// Guards against a replica getting its whole share at the moment its rest ends, and
+// against it getting less for long.
 func TestShareReturnsGraduallyAfterRest(t *testing.T) {
 	tests := map[string]struct {
 		parts []Part
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -15,7 +15,7 @@
 	return b
 }
 
-// sharedPrompt is one with a shared part.
+// sharedPrompt returns a prompt with a shared part.
 func sharedPrompt() []Part { return []Part{{ID: 5, Tokens: 100}, {ID: 6, Tokens: 1}} }
 
 func TestRestartClearsReplicaState(t *testing.T) {
@@ -51,7 +51,7 @@
 	assert.Empty(t, other.Holders(now))
 	other.MergeRumors(rumors, now)
 	assert.Equal(t, []string{"a"}, told, "once")
-	// What comes late of the earlier life changes nothing.
+	// Late rumors about the earlier life are ignored.
 	other.MergeRumors(Rumors{
 		Failures: []ObservedFailure{{ReplicaHash("a"), Refused, now.Add(-time.Second)}},
 		Holders:  []PartHolder{{5, ReplicaHash("a")}},
@@ -62,7 +62,7 @@
 	assert.NotEmpty(t, other.Holders(now.Add(time.Second)), "its own answer tells what it holds now")
 }
 
-// Who knows nothing of restarts passes over a failure of a kind that it does not know.
+// A router that does not know a failure kind, such as restarts, ignores it.
 func TestUnknownFailureKindIsIgnored(t *testing.T) {
 	now := time.Now()
 	b := twoEngines(now)
--- a/pkg/balance/tellingfleet_test.go
+++ b/pkg/balance/tellingfleet_test.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// tellingRound is a round of telling in a large fleet.
-	tellingRound = 600 * time.Millisecond
-	// rumorRound is a round of telling rumors, and rumorPartners how many routers are
-	// told in it.
+	// gossipRound is the interval between updates in a large fleet.
+	gossipRound = 600 * time.Millisecond
+	// rumorRound is the interval between rounds of rumors, and rumorPartners how many
+	// routers get them in each round.
 	rumorRound    = 300 * time.Millisecond
 	rumorPartners = 12
 )
 
-// tellingFleet plays the routers of a large fleet that tell each other what they run:
-// each tells its line in each round, and each line's sum reaches each router once a
-// round, each from a random moment on. Rumors come to some
-// partners, and go on with their next round of rumors.
-type tellingFleet struct {
+// gossipFleet simulates the routers of a large fleet that exchange what they run: each
+// updates its line once a round, and each line's sum reaches each router once a round,
+// both starting at random moments. Rumors go to some partners, which forward them in
+// their next round of rumors.
+type gossipFleet struct {
 	random  *rand.Rand
 	now     time.Time
 	events  eventQueue
 	routers []*Balancer
 	lines   int
-	told    []map[uint32]int
+	counts  []map[uint32]int
 }
 
 type fleetEvent struct {
@@ -47,26 +47,26 @@
 	return last
 }
 
-func newTellingFleet(seed uint64, routers, lines int) *tellingFleet {
-	f := &tellingFleet{random: rand.New(rand.NewPCG(seed, seed)), now: start, lines: lines}
+func newGossipFleet(seed uint64, routers, lines int) *gossipFleet {
+	f := &gossipFleet{random: rand.New(rand.NewPCG(seed, seed)), now: start, lines: lines}
 	for i := range routers {
 		b := New(seed + uint64(i))
 		b.SetLargeFleet(true)
 		f.routers = append(f.routers, b)
-		f.told = append(f.told, nil)
+		f.counts = append(f.counts, nil)
 	}
 	for router := range f.routers {
-		f.each(tellingRound, func() { f.tell(router) })
-		f.each(rumorRound, func() { f.pass(router) })
+		f.repeat(gossipRound, func() { f.collectCounts(router) })
+		f.repeat(rumorRound, func() { f.forwardRumors(router) })
 		for line := range lines {
-			f.each(tellingRound, func() { f.relay(line, router) })
+			f.repeat(gossipRound, func() { f.relayLine(line, router) })
 		}
 	}
 	return f
 }
 
-// run plays what is due until a time has passed.
-func (f *tellingFleet) run(length time.Duration) {
+// run executes the events that are due until a time has passed.
+func (f *gossipFleet) run(length time.Duration) {
 	end := f.now.Add(length)
 	for len(f.events) > 0 && f.events[0].at.Before(end) {
 		next := heap.Pop(&f.events).(fleetEvent)
@@ -75,12 +75,12 @@
 	}
 }
 
-func (f *tellingFleet) after(d time.Duration, do func()) {
+func (f *gossipFleet) after(d time.Duration, do func()) {
 	heap.Push(&f.events, fleetEvent{f.now.Add(d), do})
 }
 
-// each repeats something once a round, from a random moment on.
-func (f *tellingFleet) each(round time.Duration, do func()) {
+// repeat runs do once a round, starting at a random moment.
+func (f *gossipFleet) repeat(round time.Duration, do func()) {
 	var again func()
 	again = func() {
 		do()
@@ -89,17 +89,17 @@
 	f.after(time.Duration(f.random.Float64()*float64(round)), again)
 }
 
-func (f *tellingFleet) tell(router int) {
+func (f *gossipFleet) collectCounts(router int) {
 	counts := make(map[uint32]int)
 	for _, c := range f.routers[router].TakePeerUpdate(f.now).Running {
 		counts[c.Replica] = c.Running
 	}
-	f.told[router] = counts
+	f.counts[router] = counts
 }
 
-// pass has some of a router's partners take its rumors: of those of its line, and of
+// forwardRumors sends a router's rumors to some of its partners: routers of its line, and
 // one in each other line.
-func (f *tellingFleet) pass(router int) {
+func (f *gossipFleet) forwardRumors(router int) {
 	rumors := f.routers[router].TakeRumors()
 	if rumors.Empty() {
 		return
@@ -111,7 +111,7 @@
 	}
 }
 
-func (f *tellingFleet) partners(router int) []int {
+func (f *gossipFleet) partners(router int) []int {
 	var partners []int
 	for line := range f.lines {
 		if line != router%f.lines {
@@ -127,11 +127,11 @@
 	return partners
 }
 
-func (f *tellingFleet) relay(line, router int) {
+func (f *gossipFleet) relayLine(line, router int) {
 	sums := make(map[uint32]int)
 	for other := line; other < len(f.routers); other += f.lines {
 		if other != router {
-			for replica, n := range f.told[other] {
+			for replica, n := range f.counts[other] {
 				sums[replica] += n
 			}
 		}
--- a/pkg/balance/without_test.go
+++ b/pkg/balance/without_test.go
@@ -13,8 +13,8 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// Each mechanism that decides changes a decision: what can be left out without any
-// difference is none.
+// Checks that each mechanism changes a decision, since one that can be left out without
+// any difference has no effect.
 func TestEachMechanismMakesADifference(t *testing.T) {
 	home := pickFrom(newBalancer(engines(12)), "dc0", prompt(5)).Replica
 	replace := func(b *Balancer) {
@@ -37,7 +37,7 @@
 		"near": func(b *Balancer) any {
 			var ids []string
 			for _, centre := range []string{"dc0", "dc1", "dc2"} {
-				ids = append(ids, pickFrom(b, centre, small(5)).Replica.ID)
+				ids = append(ids, pickFrom(b, centre, smallPrompt(5)).Replica.ID)
 			}
 			return ids
 		},
@@ -69,7 +69,7 @@
 			return pickFrom(b, "dc0", prompt(5)).Replica.ID
 		},
 		"evidence": func(b *Balancer) any {
-			serve(b, 12, 10, start)
+			succeedAll(b, 12, 10, start)
 			b.RequestFailed(home.ID, Broke, "dc0", start)
 			return pickFrom(b, "dc0", prompt(5)).Replica.ID
 		},
