--- a/pkg/balance/answered.go
+++ b/pkg/balance/answered.go
@@ -11,7 +11,7 @@
 	}
 }
 
-// RequestFinished ends what Started began.
+// RequestFinished ends a request that RequestStarted counted.
 func (b *Balancer) RequestFinished(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -20,8 +20,8 @@
 	}
 }
 
-// RequestSucceeded notes that a replica answered well and now holds the parts of the
-// prompt, and tells whether that cleared it of earlier failures.
+// RequestSucceeded records that a replica answered successfully and now holds the parts
+// of the prompt. It reports whether that cleared the replica of earlier failures.
 func (b *Balancer) RequestSucceeded(id string, parts []Part, now time.Time) (cleared bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,9 +45,9 @@
 	return doubted && r.health.failures == 0
 }
 
-// shouldAnnounceHolder tells whether others can't guess that an engine holds a part. In
-// a large fleet they take a prompt's last shared part to be at its first home,
-// and soon know some holder of an opening that many prompts share.
+// shouldAnnounceHolder reports whether other routers can't guess that an engine holds a
+// part. In a large fleet they assume that a prompt's last shared part is at its first
+// home, and soon learn of some holder of an opening that many prompts share.
 func (b *Balancer) shouldAnnounceHolder(r *replica, part uint64, parts []Part) bool {
 	if !b.largeFleet {
 		return true
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -1,16 +1,16 @@
 // Package balance decides which replica of a service gets a request.
 //
-//	Replace   the replicas that may get work
-//	Pick      one of them, by the parts of the prompt, load and health
-//	Started, Answered, Failed, Finished    what became of it
-//	Merge     what another router tells of its own requests
+//	SetReplicas   sets the replicas that may get work
+//	Pick          chooses one by the parts of the prompt, load and health
+//	RequestStarted, RequestSucceeded, RequestFailed, RequestFinished
+//	              record the outcome
+//	MergePeer     takes what another router sent about its own requests
 //
-// Engines keep the parts of prompts that they have read. Every router orders
-// the engines for a part in the same way, by rendezvous hashing, so that without
-// a word between them they agree on its home; a home above the bound is passed
-// over, and whoever does not hold the part is told an engine that does, from
-// which it copies. The package does no I/O; time and randomness come from the
-// caller.
+// Engines cache the parts of prompts that they have read. Every router ranks the engines
+// for a part by rendezvous hashing, so that all agree on its home without communicating.
+// A home above the load bound is passed over, and an engine that lacks the part is given
+// the address of one that holds it, from which it copies. The package does no I/O; time
+// and randomness come from the caller.
 package balance
 
 import (
@@ -23,53 +23,53 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// Part is a piece of a prompt, named by its content.
+// Part is a piece of a prompt, identified by its content.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Request asks for a replica.
+// Request describes a request that needs a replica.
 type Request struct {
 	Service string
-	// DataCentre is the asker's; replicas there are preferred where equal.
+	// DataCentre is the router's own; replicas there are preferred among equals.
 	DataCentre string
-	// Parts of the prompt in order; the last belongs to the request or its
-	// session. Empty for plain services.
+	// Parts of the prompt in order; the last is specific to the request or its session.
+	// Empty for plain services.
 	Parts []Part
-	// Tried holds the ids of replicas that are not to get it again.
+	// Tried holds the ids of replicas that must not get the request again.
 	Tried []string
-	// ColdRate is how many requests a second a cold replica of the service bears; 0 if
-	// it bears what a warm one does.
+	// ColdRate is how many requests a second a cold replica of the service can take; 0 if
+	// it takes as many as a warm one.
 	ColdRate float64
 }
 
-// Reason tells why a replica was chosen.
+// Reason says why a replica was chosen.
 type Reason string
 
-// The reasons.
+// Reasons for a choice.
 const (
-	// Home: the part's first home, within its bound.
+	// Home: the first home of the part, within its bound.
 	Home Reason = "home"
 	// Holder: another engine that is known to hold the part.
 	Holder Reason = "holder"
 	// Near: the holder or home in the router's own data centre.
 	Near Reason = "near"
-	// Diverted: homes before it are above the bound, suspected or tried.
+	// Diverted: the homes ranked before it are above the bound, suspected or tried.
 	Diverted Reason = "diverted"
-	// LeastLoaded: the least loaded of a plain service.
+	// LeastLoaded: the least loaded replica of a plain service.
 	LeastLoaded Reason = "least loaded"
-	// LastResort: all that is left is suspected or above the bound.
+	// LastResort: all remaining replicas are suspected or above the bound.
 	LastResort Reason = "last resort"
-	// Cold: a cold replica, by this router's share of what it bears, since no warm one
+	// Cold: a cold replica, within this router's share of its rate, since no warm replica
 	// has room.
 	Cold Reason = "cold"
 )
 
-// Choice is the answer to a question.
+// Choice is the result of Pick.
 type Choice struct {
 	Replica directory.Replica
-	// CopySource is the address of an engine that may hold what the chosen one
+	// CopySource is the address of an engine that may hold the parts that the chosen one
 	// lacks; empty if none is needed.
 	CopySource string
 	Reason     Reason
@@ -77,29 +77,29 @@
 	// known to hold it; zero for plain services.
 	Part    uint64
 	Holders int
-	// Load is the replica's load as estimated, Bound what it was held against.
+	// Load is the estimated load of the replica, Bound the bound it was compared with.
 	Load, Bound float64
-	// PassedOver is the engine that would have been first, if it was passed over,
-	// PassedLoad its load and PassedBad how far it is suspected.
+	// PassedOver is the first engine in rank if another one was chosen, PassedOverLoad
+	// its load and PassedOverBadness how strongly it is suspected.
 	PassedOver        string
 	PassedOverLoad    float64
 	PassedOverBadness int
-	// Unreachable: all that is left could not be reached a moment ago, and another
+	// Unreachable: all remaining replicas were unreachable moments ago, and another
 	// request has just tried again.
 	Unreachable bool
 }
 
-// The bound on a replica's requests: a multiple of the mean and some more, below
-// what the users allow, since counts lag by a round of gossip (two more in a large
-// fleet). The parts are of their multiple, the slacks of the requests that they allow
-// above it.
+// The bound on a replica's requests is a multiple of the mean plus a slack. It lies below
+// what users allow, since counts lag by one round of gossip (by two more in a large
+// fleet). The fractions apply to the users' multiple; the slacks are part of the requests
+// that users allow above it.
 const (
 	boundFraction      = 0.85
 	boundSlack         = 2.5
 	largeBoundFraction = 0.775
 	largeBoundSlack    = 2.0
 	minBoundFactor     = 1.05
-	// defaultLoadFactor holds until SetLoadFactor.
+	// defaultLoadFactor applies until SetLoadFactor is called.
 	defaultLoadFactor = 2
 )
 
@@ -108,7 +108,7 @@
 	mu       sync.Mutex
 	random   *rand.Rand
 	replicas map[string]*replica
-	// departed are replicas that are listed no more but may still be copied from.
+	// departed holds replicas that are no longer listed but may still be copied from.
 	departed      map[string]departedReplica
 	services      map[string][]*replica
 	centreHealth  map[string]*health
@@ -116,39 +116,40 @@
 	holders       *holders
 	hotParts      *hotPartCache
 	peers         map[string]peerCounts
-	// lines are the sums that other lines of a large fleet told.
+	// lines holds the sums reported by other lines of a large fleet.
 	lines map[Line]peerCounts
-	// peerTotals sums up peers and lines, as of totalsAt.
+	// peerTotals is the sum over peers and lines, computed at peerTotalsAt.
 	peerTotals   map[uint32]ReplicaCount
 	peerTotalsAt time.Time
 	byShortHash  map[uint32]*replica
-	// byTinyHash are the replicas by the short hashes of LineTold.Singles.
+	// byTinyHash maps the 16-bit hashes of LineCounts.Singles to replicas.
 	byTinyHash    map[uint16][]*replica
 	pendingRumors Rumors
-	// firstListedAt is when the first list came.
+	// firstListedAt is when the first list arrived.
 	firstListedAt time.Time
-	// medians are the median paces of services.
+	// medians caches the median pace of each service.
 	medians map[string]median
-	// lastProbe is when a service that is out of reach was last tried.
+	// lastProbe is when an unreachable service was last tried.
 	lastProbe map[string]time.Time
-	// outcomes are how this router's own requests ended, by service.
+	// outcomes counts how this router's own requests ended, by service.
 	outcomes map[string]*outcomeCounts
-	// loadFactor is how many times the mean the users allow a replica.
+	// loadFactor is the multiple of the mean load that users allow a replica.
 	loadFactor float64
-	// disabled are mechanisms that an experiment leaves out.
+	// disabled holds the mechanisms that an experiment turns off.
 	disabled mechanism.Set
-	// largeFleet: routers can't tell all others what they run. holdersSynced: who holds
-	// what is known as well as it can be.
+	// largeFleet: routers can't tell every other router what they run. holdersSynced: the
+	// holders known to other routers have been fetched as far as possible.
 	largeFleet, holdersSynced bool
-	// evacuated are the replicas of services that are left out with their data centre.
+	// evacuated holds the replicas of each service that are excluded with their data
+	// centre.
 	evacuated map[string][]*replica
 	cold      coldShares
 	hooks     atomic.Pointer[ReplicaHooks]
-	// pendingRestarts are those that a rumor told of, for ends.
+	// pendingRestarts holds restarts learned from rumors, to be passed to hooks.
 	pendingRestarts []directory.Replica
 }
 
-// replica is one replica with what was seen of it.
+// replica is a replica with what this router knows about it.
 type replica struct {
 	directory.Replica
 	rankHash  uint64
@@ -158,22 +159,23 @@
 	report    loadReport
 	health    health
 	pace      pace
-	// allowance is what this router may send to the replica while it is cold.
+	// allowance limits what this router may send to the replica while it is cold.
 	allowance tokenBucket
-	// softOutcomes counts the failures that speak against the replica only if they are more
-	// than others have, as all routers saw them.
+	// softOutcomes counts, over all routers, the failures that count against the replica
+	// only if it has more of them than the others.
 	softOutcomes outcomeCounts
-	// lastSuccess is when it last lastSuccess well, lastHung when it last left a request
-	// without an answer.
+	// lastSuccess is when the replica last answered successfully, lastHung when it last
+	// left a request unanswered.
 	lastSuccess, lastHung time.Time
-	// restUntil is the latest end of a rest that it asked for.
+	// restUntil is the latest end of a rest that the replica asked for.
 	restUntil time.Time
-	// restartedAt is when it started again under its id, as far as this router saw.
+	// restartedAt is when the replica last restarted under its id, as far as this router
+	// knows.
 	restartedAt time.Time
 }
 
-// New returns a balancer without replicas. Its choices are a function of seed
-// and of what it is told.
+// New returns a balancer without replicas. Its choices depend only on seed and on the
+// calls made to it.
 func New(seed uint64) *Balancer {
 	return &Balancer{
 		random:        rand.New(rand.NewPCG(seed, seed)),
@@ -196,23 +198,22 @@
 	}
 }
 
-// SetLargeFleet tells whether the fleet is too large for each router to tell each
-// other one what it runs and what it saw.
+// SetLargeFleet sets whether the fleet is too large for each router to tell every other
+// router what it runs and observes.
 func (b *Balancer) SetLargeFleet(large bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.largeFleet = large
 }
 
-// SetLoadFactor sets how many times the mean of its service the users allow a
-// replica to carry.
+// SetLoadFactor sets the multiple of its service's mean load that users allow a replica.
 func (b *Balancer) SetLoadFactor(factor float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.loadFactor = factor
 }
 
-// DisableMechanisms leaves mechanisms out, for experiments.
+// DisableMechanisms turns mechanisms off, for experiments.
 func (b *Balancer) DisableMechanisms(set mechanism.Set) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -220,18 +221,19 @@
 	b.holders.disabled = set.Has(mechanism.Holders)
 }
 
-// SetHoldersSynced tells whether who holds what has been recalled since the start.
+// SetHoldersSynced sets whether the known holders have been fetched from other routers
+// since the start.
 func (b *Balancer) SetHoldersSynced(recalled bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.holdersSynced = recalled
 }
 
-// holdersUnknown tells whether there may be holders of parts that this router has not
-// heard of.
+// holdersUnknown reports whether parts may have holders that this router has not heard
+// of.
 func (b *Balancer) holdersUnknown() bool { return b.largeFleet || !b.holdersSynced }
 
-// Pick chooses a replica, or returns false if the service has none that is left.
+// Pick chooses a replica. It returns false if the service has no replica left.
 func (b *Balancer) Pick(q Request, now time.Time) (Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -7,69 +7,70 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// A cold replica is one that is slow for a time after its start and bears few requests
-// a second. It gets nothing while a warm one has room. Beyond that, a few routers may
-// send to it, found by rendezvous hashing over all that are known, those behind a cut
-// included: a share of each of a large fleet would be a fraction of a request a second,
-// and what many may save up in a second is more than it bears.
-
-// ColdBounds are what the users allow all routers to send to a cold replica in any one
-// second: Overage times the rate that it bears, and Allowance requests more.
+// A cold replica is slow for a time after its start and can take only a few requests a
+// second. It gets no requests while a warm replica has room. Beyond that, only a few
+// routers may send to it, chosen by rendezvous hashing over all known routers, including
+// those behind a network partition. If every router of a large fleet had a share, each
+// would get a fraction of a request a second, and what all of them could save up in a
+// second would exceed what the replica can take.
+
+// ColdBounds limit what users allow all routers together to send to a cold replica in any
+// one second: Overage times its rate, plus Allowance requests.
 type ColdBounds struct {
 	Overage   float64
 	Allowance float64
 }
 
 const (
-	// membershipViews is how many groups of routers may hold different ones for those that
-	// may send to a cold replica: before and after a change of the members, or on both
-	// sides of a cut. Each group takes its part of the users' bound.
+	// membershipViews is how many groups of routers may disagree on which routers send to
+	// a cold replica: before and after a membership change, or on both sides of a network
+	// partition. Each group gets its part of the users' bound.
 	membershipViews = 2
-	// membershipSettleTime is for how long after its start a router sends nothing to cold
-	// replicas, since it does not know the others: twice what the members take to be
-	// told after a start.
+	// membershipSettleTime is how long after its start a router sends nothing to cold
+	// replicas, since it does not know the other routers yet: twice what the membership
+	// takes to spread after a start.
 	membershipSettleTime = 4 * time.Second
-	// coldBurst is what a router may save up for a cold replica, in requests.
+	// coldBurst is how many requests a router may save up for a cold replica.
 	coldBurst = 1
 )
 
-// coldShares is what it takes to divide a cold replica's rate among routers.
+// coldShares divides a cold replica's rate among routers.
 type coldShares struct {
 	bounds ColdBounds
 	// own and others are the hashes of the routers' addresses.
 	own    uint64
 	others []uint64
-	// knownSince is when the routers were first told.
+	// knownSince is when the routers were first set.
 	knownSince time.Time
-	// heldBack are the services whose cold replicas are heldBack back.
+	// heldBack holds the services whose cold replicas are held back.
 	heldBack map[string]bool
 }
 
-// tokenBucket holds requests that may be sent, up to coldBurst.
+// tokenBucket limits requests to a rate, with a burst of coldBurst.
 type tokenBucket struct {
 	spent     float64
 	updatedAt time.Time
 }
 
-// available returns the requests that may be sent at a time, at a rate a second.
+// available returns how many requests may be sent now, given a rate per second.
 func (u *tokenBucket) available(rate float64, now time.Time) float64 {
 	return coldBurst - max(u.spent-rate*now.Sub(u.updatedAt).Seconds(), 0)
 }
 
-// take takes one request.
+// take takes one request from the bucket.
 func (u *tokenBucket) take(rate float64, now time.Time) {
 	u.spent = coldBurst - u.available(rate, now) + 1
 	u.updatedAt = now
 }
 
-// SetColdBounds sets what the users allow to be sent to cold replicas.
+// SetColdBounds sets what users allow to be sent to cold replicas.
 func (b *Balancer) SetColdBounds(bounds ColdBounds) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.cold.bounds = bounds
 }
 
-// SetRouters takes the addresses of all routers that are known, the own one included.
+// SetRouters sets the addresses of all known routers, including this one.
 func (b *Balancer) SetRouters(own string, known []string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,18 +86,18 @@
 	}
 }
 
-// senderCount is how many routers may send to one cold replica.
+// senderCount returns how many routers may send to one cold replica.
 func (c *coldShares) senderCount() int {
 	most := max(int(c.bounds.Allowance/(membershipViews*coldBurst)), 1)
 	return min(most, len(c.others)+1)
 }
 
-// rate is what one of them may send in a second.
+// rate returns what one of them may send in a second, given the replica's rate.
 func (c *coldShares) rate(bears float64) float64 {
 	return bears * c.bounds.Overage / float64(membershipViews*c.senderCount())
 }
 
-// isSender tells whether this router is one of those that may send to a cold replica.
+// isSender reports whether this router is one of those that may send to a cold replica.
 func (c *coldShares) isSender(r *replica, now time.Time) bool {
 	if c.knownSince.IsZero() || now.Sub(c.knownSince) < membershipSettleTime {
 		return false
@@ -111,13 +112,13 @@
 	return before < c.senderCount()
 }
 
-// isCold tells whether a replica bears less than a warm one.
+// isCold reports whether a replica can take fewer requests than a warm one.
 func isCold(r directory.Replica, q Request, now time.Time) bool {
 	return q.ColdRate > 0 && now.Before(r.ColdUntil)
 }
 
-// candidates returns the replicas that may get a request: the warm ones, and where
-// none of them has room also the cold ones to which this router may send one.
+// candidates returns the replicas that may get a request: the warm ones and, if none of
+// them has room, also the cold ones to which this router may send.
 func (b *Balancer) candidates(q Request, all []*replica, bound float64, now time.Time) []*replica {
 	left := make([]*replica, 0, len(all))
 	var cold []*replica
@@ -144,8 +145,8 @@
 	return left
 }
 
-// spendColdAllowance takes a request from the allowance of a chosen replica that is cold, and
-// returns the reason of the choice.
+// spendColdAllowance takes a request from the allowance of the chosen replica if it is
+// cold, and returns the reason for the choice.
 func (b *Balancer) spendColdAllowance(chosen *replica, q Request, reason Reason, now time.Time) Reason {
 	if !isCold(chosen.Replica, q, now) {
 		return reason
@@ -154,12 +155,13 @@
 	return Cold
 }
 
-// maxIdleFraction is the part of the replicas beyond which idle ones strain the others.
+// maxIdleFraction is the fraction of idle replicas above which the others count as
+// strained.
 const maxIdleFraction = 0.1
 
-// CapacityReduced tells whether many replicas are idle, being evacuated or held back while they
-// are cold, so that the others are nearer to the users' bound: routers are to know sooner
-// what each runs.
+// CapacityReduced reports whether many replicas are idle because they are evacuated or
+// held back while cold. The others are then closer to the users' bound, so routers must
+// exchange their counts sooner.
 func (b *Balancer) CapacityReduced(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/balance/engine.go
+++ b/pkg/balance/engine.go
@@ -17,17 +17,18 @@
 	return parts
 }
 
-// homeKey names what a prompt's home is chosen by: its last shared part.
+// homeKey returns the key that determines a prompt's home: its last shared part.
 func homeKey(parts []Part) uint64 {
 	parts = sharedParts(parts)
 	return parts[len(parts)-1].ID
 }
 
-// homeRank is the weight of an engine for a part. The highest is its home.
+// homeRank is the weight of an engine for a part. The engine with the highest is its
+// home.
 func homeRank(r *replica, key uint64) uint64 { return mixBits(r.rankHash ^ key) }
 
-// firstByRank returns the engine that comes first for a part, highest random
-// weight first, of those that are wanted, or nil. Wanted is asked of few.
+// firstByRank returns the engine with the highest rank for a part among those for which
+// wanted is true, or nil. It calls wanted for few engines only.
 func firstByRank(list []*replica, key uint64, wanted func(*replica) bool) *replica {
 	var first *replica
 	var rank uint64
@@ -40,14 +41,14 @@
 	return first
 }
 
-// pickEngine prefers an engine that is known to hold the prompt's shared parts,
-// in the common order; else the first in that order. Preferring holders lets
-// parts stay where they are when engines join. home is the first in the order.
-// A holder in the own data centre comes first, and a small prompt is kept in each.
+// pickEngine prefers an engine that is known to hold the prompt's shared parts, in rank
+// order, and otherwise takes the first in rank order. Preferring holders lets parts stay
+// where they are when engines join. home is the first in rank order. A holder in the
+// router's own data centre comes first, and a small prompt is kept in each data centre.
 //
-// Where no engine is both sound and below the bound, the least bad ones are
-// chosen among in the same way, within a bound of their own: parts that were
-// spread over all of them by load alone would have to be copied or read again.
+// If no engine is both healthy and below the bound, the choice among the least bad ones
+// is made in the same way, with a bound of their own: parts spread over all of them by
+// load alone would have to be copied or read again.
 func (b *Balancer) pickEngine(q Request, left []*replica, bound float64, now time.Time) (chosen, home *replica, reason Reason) {
 	key := homeKey(q.Parts)
 	home = firstByRank(left, key, func(*replica) bool { return true })
@@ -78,12 +79,12 @@
 	return chosen, home, reasonFor(chosen, home, Diverted, lastResort)
 }
 
-// pickHolderOrHome returns the first engine that fits and is known to hold a part, else the
-// first one that fits, or nil; or one of the next ones, if the part is spread. held
-// tells whether a holder was found.
+// pickHolderOrHome returns the first eligible engine that is known to hold a part, else
+// the first eligible one, or nil; if the part is spread, one of the next ones. held
+// reports whether a holder was found.
 //
-// A part of which no holder is known goes to its first home only: at a second one
-// it would be read again, which costs more than waiting for the first reading.
+// A part without a known holder goes to its first home only: a second home would read it
+// again, which costs more than waiting for the first reading.
 func (b *Balancer) pickHolderOrHome(list []*replica, key uint64, fits func(*replica) bool, bound float64, now time.Time) (first *replica, held bool) {
 	first = firstByRank(list, key, func(r *replica) bool {
 		return b.holders.holds(key, r.ID, now) && fits(r)
@@ -102,8 +103,8 @@
 	})
 }
 
-// reasonFor names why an engine was chosen: for want of a better one, as the first
-// in the common order, or for another reason.
+// reasonFor returns why an engine was chosen: as a last resort, as the first in rank
+// order, or for another reason.
 func reasonFor(chosen, home *replica, other Reason, lastResort bool) Reason {
 	switch {
 	case lastResort:
@@ -114,7 +115,7 @@
 	return other
 }
 
-// leastBadEngines returns the replicas that are the least to be avoided.
+// leastBadEngines returns the replicas with the lowest badness.
 func (b *Balancer) leastBadEngines(list []*replica, now time.Time) []*replica {
 	var group []*replica
 	least := math.MaxInt
@@ -134,8 +135,8 @@
 	return !b.isSuspect(r, now) && b.load(r, now) < bound
 }
 
-// copySource returns where an engine can copy what it lacks of a prompt's shared
-// parts from, or an empty text where there is nothing to copy.
+// copySource returns the address from which an engine can copy what it lacks of a
+// prompt's shared parts, or "" if there is nothing to copy.
 func (b *Balancer) copySource(chosen *replica, parts []Part, now time.Time) string {
 	parts = sharedParts(parts)
 	last := len(parts) - 1
@@ -145,15 +146,14 @@
 	if r := b.otherHolder(chosen, parts[last].ID, now); r != nil {
 		return r.Address
 	}
-	// No holder is known, though there may be one. The first home is the likely
-	// one; for the first home itself that is the next one, if it joined a moment
-	// ago.
+	// No holder is known, though there may be one. Most likely it is the first home or,
+	// if the first home itself was chosen and has joined recently, the next one.
 	likely := b.likelyHolder(chosen, parts[last].ID, now)
 	isFirstHome := likely == nil || homeRank(chosen, parts[last].ID) > homeRank(likely, parts[last].ID)
 	if likely != nil && (b.holdersUnknown() && !isFirstHome || chosen.joinedRecently(now)) {
 		return likely.Address
 	}
-	// The part is new to all, it seems: what comes before it may be there.
+	// The part seems to be new to all engines, but the parts before it may be held.
 	for i := last - 1; i >= 0; i-- {
 		if b.holders.holds(parts[i].ID, chosen.ID, now) {
 			return ""
@@ -168,8 +168,8 @@
 	return likely.Address
 }
 
-// otherHolder returns the engine that was last known to read a part, other
-// than one and within reach, or nil. Those that are listed come first.
+// otherHolder returns the reachable engine, other than chosen, that was last known to
+// read a part, or nil. Listed engines come first.
 func (b *Balancer) otherHolder(chosen *replica, part uint64, now time.Time) *replica {
 	var left *replica
 	for _, id := range b.holders.list(part, now) {
@@ -185,8 +185,8 @@
 	return left
 }
 
-// likelyHolder returns the first home of a part, other than one and within
-// reach, or nil. One that drains was the home until a moment ago.
+// likelyHolder returns the reachable engine, other than chosen, that ranks first for a
+// part, or nil. Draining engines count, since one may have been the home until recently.
 func (b *Balancer) likelyHolder(chosen *replica, part uint64, now time.Time) *replica {
 	var first *replica
 	var rank uint64
@@ -201,8 +201,9 @@
 	return first
 }
 
-// isUnreachable tells whether a replica can't even be copied from: badness is at least
-// badUnreachable, which is asked of all replicas of a service for each choice.
+// isUnreachable reports whether a replica can't even be copied from. It is equivalent to
+// a badness of at least badUnreachable, but it is evaluated for all replicas of a service
+// on each choice.
 func (b *Balancer) isUnreachable(r *replica, now time.Time) bool {
 	return r.health.kind >= Refused && r.health.isAvoided(now) || b.isCutOff(r.DataCentre, now)
 }
--- a/pkg/balance/load.go
+++ b/pkg/balance/load.go
@@ -7,19 +7,19 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// loadReport is what a replica told of its load.
+// loadReport is the load that a replica reported.
 type loadReport struct {
 	load float64
-	// running is the own count when the report came.
+	// running is this router's own count when the report came.
 	running int
 	at      time.Time
 }
 
-// reportLifetime is how long a report says something: engines report with a lag,
-// and a request lasts about as long.
+// reportLifetime is how long a report is meaningful: engines report with a lag, and a
+// request lasts about as long.
 const reportLifetime = 400 * time.Millisecond
 
-// load estimates the requests at a replica, of all routers.
+// load estimates how many requests of all routers a replica has.
 func (b *Balancer) load(r *replica, now time.Time) float64 {
 	load := float64(r.running + b.peerCount(r.shortHash, now).Running)
 	if now.Sub(r.report.at) < reportLifetime {
@@ -29,9 +29,9 @@
 }
 
 // serviceBound is the load up to which a replica of a service gets further requests.
-// Those that can't be reached carry none of what this router sends, so the mean
-// is that of the others. The users' mean is of all replicas, those included to which
-// nothing is sent while they are evacuated or cold: the others are held to it.
+// Unreachable replicas carry none of this router's requests, so the mean is taken over
+// the others. The users' mean covers all replicas, including those that get nothing
+// because they are evacuated or cold, and the others are held to it.
 func (b *Balancer) serviceBound(service string, now time.Time) float64 {
 	all := b.services[service]
 	total, reached := 0.0, 0
@@ -49,7 +49,7 @@
 	return b.boundForMean(total / float64(reached))
 }
 
-// boundAmong is the bound within some replicas.
+// boundAmong is the bound for a set of replicas.
 func (b *Balancer) boundAmong(list []*replica, now time.Time) float64 {
 	total := 0.0
 	for _, r := range list {
@@ -70,7 +70,7 @@
 	return max(part*b.loadFactor, minBoundFactor)*mean + slack
 }
 
-// LoadReported takes the load that a replica told, in requests running and waiting.
+// LoadReported records the load that a replica reported, in requests running and waiting.
 func (b *Balancer) LoadReported(id string, load int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/balance/near.go
+++ b/pkg/balance/near.go
@@ -1,11 +1,12 @@
 package balance
 
-// smallPromptTokens is up to how many shared tokens a prompt's parts are kept in each
-// data centre: a copy of them costs less than what a cut makes late or breaks of
-// the streams that cross it.
+// smallPromptTokens is the number of shared tokens up to which a prompt's parts are kept
+// in each data centre: copying them costs less than the streams between data centres that
+// a network partition delays or breaks.
 const smallPromptTokens = 1024
 
-// sharedTokenCount is the size of the parts of a prompt that others have too.
+// sharedTokenCount returns the size of the parts of a prompt that other requests have
+// too.
 func sharedTokenCount(parts []Part) int {
 	tokens := 0
 	for _, part := range sharedParts(parts) {
@@ -14,8 +15,8 @@
 	return tokens
 }
 
-// keptPerDataCentre tells whether a prompt is kept in each data centre, not at one home of
-// the whole fleet.
+// keptPerDataCentre reports whether a prompt is kept in each data centre instead of at
+// one home for the whole fleet.
 func keptPerDataCentre(parts []Part) bool {
 	return len(parts) > 1 && sharedTokenCount(parts) <= smallPromptTokens
 }
--- a/pkg/balance/plain.go
+++ b/pkg/balance/plain.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// remotePenalty is what the way to another data centre weighs, in requests.
+// remotePenalty is the cost of sending a request to another data centre, in requests.
 const remotePenalty = 1.5
 
-// pickPlain chooses a replica of a service that keeps nothing between requests.
+// pickPlain chooses a replica of a service that keeps no state between requests.
 func (b *Balancer) pickPlain(q Request, left []*replica, now time.Time) (*replica, Reason) {
-	// A random start makes routers that know the same choose differently.
+	// A random order lets routers with the same information choose differently.
 	b.random.Shuffle(len(left), func(i, j int) { left[i], left[j] = left[j], left[i] })
 	sound := b.leastBad(left, now)
 	chosen := b.leastPlainLoad(q, sound, now)
@@ -25,7 +25,7 @@
 	return chosen, LeastLoaded
 }
 
-// leastBad returns those that are to be avoided least.
+// leastBad returns the replicas with the lowest badness.
 func (b *Balancer) leastBad(list []*replica, now time.Time) []*replica {
 	var best []*replica
 	least := math.MaxInt
@@ -41,7 +41,7 @@
 	return best
 }
 
-// plainLoad is a replica's load with what the way to it weighs.
+// plainLoad is a replica's load, with a penalty for another data centre.
 func (b *Balancer) plainLoad(q Request, r *replica, now time.Time) float64 {
 	if r.DataCentre != q.DataCentre {
 		return math.Floor(b.load(r, now)) + remotePenalty
@@ -55,9 +55,9 @@
 	})
 }
 
-// drawByLoad draws one, the likelier the less loaded it is. In a large fleet the
-// others' counts are a round of telling old: if all routers took the least loaded
-// one they would fill it, turn to the next, and fill that.
+// drawByLoad draws a replica at random; less loaded ones are more likely. In a large
+// fleet the counts of other routers are one gossip round old: if all routers took the
+// least loaded replica, they would fill it, turn to the next, and fill that.
 func (b *Balancer) drawByLoad(q Request, list []*replica, now time.Time) *replica {
 	weights := make([]float64, len(list))
 	total := 0.0
--- a/pkg/balance/spread.go
+++ b/pkg/balance/spread.go
@@ -10,33 +10,34 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// In a large fleet what others run is told late. When one session draws a
-// part of all prompts, its home fills before anybody hears of it. Then all routers pass
-// over it and fill the next one; and requests that last no longer than what is told is
-// old have left the first one meanwhile, which looks empty and is filled again.
+// In a large fleet, routers learn late what others run. When one session draws a large
+// part of all prompts, its home fills before any router hears of it. Then all routers
+// pass over it and fill the next one. Requests that are shorter than the age of the
+// counts have left the first home meanwhile, so it looks empty and is filled again.
 //
-// By how far the homes of a part are above the bound a router knows how many homes it
-// takes. That is remembered and told: a router hardly sees two requests of one session
-// in a second, and most would find the home that has just emptied.
+// A router computes how many homes a part needs from how far its homes are above the
+// bound. That number is remembered and sent to other routers: a router hardly sees two
+// requests of one session in a second, and most would find the home that has just
+// emptied.
 //
-// It costs more copies of the part, and keeps its homes within what the users allow.
+// This costs more copies of the part, and keeps its homes within what users allow.
 const (
-	// homeLoadShare is the part of the bound that one more home takes: homes have half of
-	// it free in the mean.
+	// homeLoadShare is the part of the bound that one more home takes: on average, half
+	// of a home's bound is free.
 	homeLoadShare = 0.5
-	// maxHomes is the most homes that a part is spread over: each of them has to copy
-	// it.
+	// maxHomes is the most homes that a part is spread over, since each of them has to
+	// copy it.
 	maxHomes = 8
-	// spreadLifetime is for how long a part is spread once it was seen to need it: some ten
-	// rounds of telling, so that the homes are seen to be calm, or not, before all go
-	// back to one.
+	// spreadLifetime is how long a part stays spread once it was seen to need it: about
+	// ten gossip rounds, so that the load of its homes is known before all requests
+	// return to one.
 	spreadLifetime = 6 * time.Second
 	// maxHotParts is how many parts are remembered. A fleet has a handful at a time.
 	maxHotParts = 1000
 )
 
-// HotPart is a part of prompts that is spread over some of its homes, and when it was
-// seen to need them, by the steady time of the one who holds it.
+// HotPart is a part of prompts that is spread over several homes. At is when it was seen
+// to need them, on the monotonic clock of the router that stores it.
 type HotPart struct {
 	Part  uint64
 	Homes int
@@ -57,7 +58,7 @@
 	return &hotPartCache{parts: parts}
 }
 
-// homes returns over how many homes a part is spread.
+// homes returns the number of homes over which a part is spread.
 func (h *hotPartCache) homes(part uint64, now time.Time) int {
 	hot, found := h.parts.Peek(part)
 	if !found || now.Sub(hot.At) >= spreadLifetime {
@@ -66,7 +67,8 @@
 	return hot.Homes
 }
 
-// addHotPart notes that a part takes some homes. What is new is told. b.mu is held.
+// addHotPart records how many homes a part needs. New information is queued for other
+// routers. b.mu is held.
 func (b *Balancer) addHotPart(hot HotPart, now time.Time) {
 	if !b.largeFleet || now.Sub(hot.At) >= spreadLifetime || hot.Homes <= b.hotParts.homes(hot.Part, now) {
 		return
@@ -78,8 +80,8 @@
 	}
 }
 
-// pickAmongHomes returns the engine for a part whose first one that fits is given, or any of
-// the first that fit, as many as the part takes.
+// pickAmongHomes returns the engine for a part: first, the first eligible one, or any of
+// the first eligible ones, as many as the part needs.
 func (b *Balancer) pickAmongHomes(list []*replica, key uint64, fits func(*replica) bool, first *replica, bound float64, now time.Time) *replica {
 	if !b.largeFleet || first == nil || b.disabled.Has(mechanism.Spread) {
 		return first
@@ -93,9 +95,9 @@
 	return homes[b.random.IntN(min(most, len(homes)))]
 }
 
-// requiredHomes returns how many homes a part takes by what those that come before the first
-// one that fits have above the bound. Where a holder was found those before it are
-// holders too.
+// requiredHomes returns how many homes a part needs, by the load above the bound of the
+// engines that rank before the first eligible one. If first is a holder, only holders
+// before it count.
 func (b *Balancer) requiredHomes(list []*replica, key uint64, first *replica, bound float64, now time.Time) int {
 	above := 0.0
 	held := b.holders.holds(key, first.ID, now)
@@ -108,8 +110,8 @@
 	return 1 + int(above/(homeLoadShare*bound))
 }
 
-// rankedHomes returns the engines that fit in the order in which a part takes them: those
-// that hold it, then by rank.
+// rankedHomes returns the eligible engines in the order in which a part uses them:
+// holders first, then by rank.
 func (b *Balancer) rankedHomes(list []*replica, key uint64, fits func(*replica) bool, now time.Time) []*replica {
 	var homes []*replica
 	holds := make(map[*replica]bool)
