--- a/pkg/balance/evidence.go
+++ b/pkg/balance/evidence.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// outcomeCounts counts how requests ended, the older the less.
+// outcomeCounts counts how requests ended, with exponential decay.
 type outcomeCounts struct {
 	successes, failures float64
 	at                  time.Time
 }
 
 const (
-	// outcomeDecayTime is the time after which an outcome weighs 1/e: enough for an engine to
-	// get some requests of all routers, so that a share of them says something.
+	// outcomeDecayTime is the time after which an outcome weighs 1/e: long enough for an
+	// engine to get some requests from all routers, so that its failure share is
+	// meaningful.
 	outcomeDecayTime = 1500 * time.Millisecond
-	// outlierMargin is how much higher a replica's share of failures must be than
-	// twice that of the others before it is avoided for them. What is avoided has to
-	// be copied or read elsewhere, which costs more than a few repeats.
+	// outlierMargin is how far a replica's failure share must exceed twice that of the
+	// others before it is avoided. Parts of an avoided engine have to be copied or read
+	// elsewhere, which costs more than a few retries.
 	outlierMargin = 0.1
-	// minOutlierFailures is the least number of failures that say something.
+	// minOutlierFailures is the least number of failures that is significant.
 	minOutlierFailures = 1.5
-	// maxAvoidedFraction is the part of a large fleet's service that is avoided at most for failures
-	// which sound replicas show as well: more than fail by themselves at a time, and so few
-	// that the others bear what is passed over.
+	// maxAvoidedFraction is the largest part of a large fleet's service that is avoided
+	// for failures which healthy replicas show too: more than fail independently at a
+	// time, and few enough for the others to carry their load.
 	maxAvoidedFraction = 0.25
-	// calmFailureRate is the share of failures of the others up to which one more failure
-	// speaks against a replica that failed a moment ago.
+	// calmFailureRate is the failure share of the other replicas up to which one more
+	// failure counts against a replica that failed recently.
 	calmFailureRate = 0.1
 )
 
-// decay brings the counts to a time.
+// decay ages the counts up to now.
 func (e *outcomeCounts) decay(now time.Time) {
 	if past := now.Sub(e.at); past > 0 {
 		left := math.Exp(-past.Seconds() / outcomeDecayTime.Seconds())
@@ -50,7 +51,7 @@
 	e.failures++
 }
 
-// serviceOutcomes returns what this router saw of a service.
+// serviceOutcomes returns the outcomes that this router saw at a service.
 func (b *Balancer) serviceOutcomes(service string) *outcomeCounts {
 	e := b.outcomes[service]
 	if e == nil {
@@ -60,16 +61,16 @@
 	return e
 }
 
-// isOutlier tells whether failures of a kind that sound replicas show as well, now
-// and then or all at once, speak against one of them: its share of failures must
-// stand out against that of the others of its service. Failures are told among
-// routers, good answers are not; those of all are estimated from the own ones.
+// isOutlier reports whether failures of a kind that healthy replicas also show,
+// occasionally or all at once, count against a replica: its failure share must stand out
+// from that of the other replicas of its service. Routers share failures but not
+// successes, so the successes of all routers are estimated from this router's own.
 func (b *Balancer) isOutlier(r *replica, now time.Time) bool {
 	own := b.serviceOutcomes(r.Service)
 	own.decay(now)
 	if b.largeFleet {
-		// Failures are told of late and in part, so only a service that fails as a
-		// whole is taken for sound.
+		// Failures arrive late and incompletely, so replicas count as healthy only if the
+		// service fails as a whole.
 		whole := own.failures >= outlierMargin*2*(own.successes+own.failures) && own.failures >= minOutlierFailures
 		return !whole && !b.tooManyAvoided(r.Service, now)
 	}
@@ -82,7 +83,7 @@
 		}
 	}
 	r.softOutcomes.decay(now)
-	// What a replica gets of all routers' good answers.
+	// A replica's share of the successes of all routers.
 	good := own.successes * float64(len(b.peers)+1) / float64(max(len(list), 1))
 	share := r.softOutcomes.failures / (r.softOutcomes.failures + good)
 	usual := others / math.Max(others+good*float64(len(list)-1), 1)
@@ -92,9 +93,9 @@
 	return r.softOutcomes.failures >= minOutlierFailures && share > 2*usual+outlierMargin
 }
 
-// tooManyAvoided tells whether so many replicas of a service are avoided for failures that sound ones
-// show as well, that one more speaks against none: what is passed over has to be carried by the
-// others, by counts that are old in a large fleet.
+// tooManyAvoided reports whether so many replicas of a service are avoided for failures
+// that healthy ones show too that no further one may be avoided. The others have to carry
+// the load of avoided replicas, and in a large fleet the counts of that load are old.
 func (b *Balancer) tooManyAvoided(service string, now time.Time) bool {
 	list := b.services[service]
 	avoided := 0
--- a/pkg/balance/health.go
+++ b/pkg/balance/health.go
@@ -6,24 +6,25 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// Failure is how a request to a replica went wrong.
+// Failure is a way in which a request to a replica fails.
 type Failure uint8
 
-// The failures, by how much they say against the replica.
+// The failures, ordered by how strongly they count against the replica.
 const (
-	// Shed: the replica did not take it, being full or leaving.
+	// Shed: the replica did not take the request because it is full or leaving.
 	Shed Failure = iota
-	// Errored: it answered with an error of its own.
+	// Errored: the replica answered with an error of its own.
 	Errored
-	// Broke: the connection ended without a whole answer.
+	// Broke: the connection ended before the answer was complete.
 	Broke
-	// Hung: no answer in a time in which others answer.
+	// Hung: no answer within a time in which other replicas answer.
 	Hung
-	// Refused: nothing listens at its address, or another replica does.
+	// Refused: nothing, or another replica, listens at the address.
 	Refused
 	// Unreachable: opening a connection took too long.
 	Unreachable
-	// Restart: it started again under its id. No failure of this life.
+	// Restart: the replica restarted under its id. It is not a failure of the restarted
+	// replica.
 	Restart
 )
 
@@ -32,7 +33,7 @@
 	return [...]string{"shed", "errored", "broke", "hung", "refused", "unreachable", "restart"}[f]
 }
 
-// isSoft tells whether sound replicas show the failure too, now and then.
+// isSoft reports whether healthy replicas occasionally show the failure too.
 func (f Failure) isSoft() bool { return f == Errored || f == Broke }
 
 // baseAvoidance is how long a replica is avoided after one failure of the kind.
@@ -47,21 +48,22 @@
 }
 
 const (
-	// maxAvoidance bounds the doubling for repeated failures.
+	// maxAvoidance limits the doubling for repeated failures.
 	maxAvoidance = 6 * time.Second
-	// failureResetTime is the quiet time after which earlier failures don't count.
+	// failureResetTime is the time without failures after which earlier ones no longer
+	// count.
 	failureResetTime = 8 * time.Second
-	// recoveryStreak is how many good answers in a row clear earlier failures.
+	// recoveryStreak is how many consecutive successes clear an earlier failure.
 	recoveryStreak = 3
-	// maxDoublings keeps the shift small.
+	// maxDoublings limits the shift.
 	maxDoublings = 5
 )
 
-// health says whether a replica is to be avoided.
+// health decides whether a replica is avoided.
 //
-//	failure          -> avoided for base, twice as long for each further one
+//	failure          -> avoided for baseAvoidance, twice as long for each further one
 //	time is over     -> tried again
-//	good answers     -> trusted again
+//	successes        -> trusted again
 type health struct {
 	failures    int
 	streak      int
@@ -70,8 +72,8 @@
 	kind        Failure
 }
 
-// recordFailure notes a failure at a time, which may lie before the last one if another
-// router saw it.
+// recordFailure records a failure. Its time may lie before that of the last one if
+// another router saw it.
 func (h *health) recordFailure(kind Failure, now time.Time) {
 	if now.Sub(h.lastFailure) > failureResetTime {
 		h.failures = 0
@@ -99,15 +101,15 @@
 	}
 }
 
-// isAvoided tells whether the replica is to get no work.
+// isAvoided reports whether the replica must get no work.
 func (h *health) isAvoided(now time.Time) bool { return now.Before(h.avoidUntil) }
 
-// isSuspect tells whether a replica is to be passed over while others are left.
+// isSuspect reports whether a replica is passed over while others are left.
 func (b *Balancer) isSuspect(r *replica, now time.Time) bool {
 	return b.badness(r, now) > 0
 }
 
-// Degrees of badness. One that can't be reached is no place to copy from.
+// Degrees of badness. An engine that can't be reached can't be copied from.
 const (
 	badSlow = iota + 1
 	badFailing
@@ -115,7 +117,7 @@
 	badAbsent
 )
 
-// badness orders replicas that should be avoided: 0 is sound.
+// badness orders replicas that should be avoided; 0 means healthy.
 func (b *Balancer) badness(r *replica, now time.Time) int {
 	bad := 0
 	if b.isSlow(r, now) || r.atResumeLimit(now) {
@@ -133,7 +135,7 @@
 	return bad
 }
 
-// isCutOff tells whether a data centre can't be reached, as it seems.
+// isCutOff reports whether a data centre appears to be unreachable.
 func (b *Balancer) isCutOff(centre string, now time.Time) bool {
 	if b.silentCentres[centre] {
 		return true
@@ -142,8 +144,9 @@
 	return c != nil && c.isAvoided(now)
 }
 
-// RequestFailed notes a failure at a replica. A replica in another data centre that
-// can't be reached speaks against the whole of it: a cut strikes them all.
+// RequestFailed records a failure at a replica. A replica in another data centre that
+// can't be reached also counts against that data centre, since a network partition
+// affects all of its replicas.
 func (b *Balancer) RequestFailed(id string, kind Failure, ownDataCentre string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,7 +160,7 @@
 	taken, speaks := b.recordFailure(r, kind, now)
 	switch {
 	case !b.largeFleet:
-		// All others judge it by what they have seen and heard themselves.
+		// Each other router judges the failure by what it has seen and heard itself.
 		b.queueFailure(r, kind, now)
 	case speaks:
 		b.queueFailure(r, taken, now)
@@ -168,24 +171,26 @@
 }
 
 const (
-	// recentSuccessWindow is how far back an answer shows that a replica was there while it
-	// left another request unanswered: less than it takes until that is noted.
+	// recentSuccessWindow is how far back a success shows that a replica was alive while
+	// it left another request unanswered: less than the time until the missing answer is
+	// noticed.
 	recentSuccessWindow = 500 * time.Millisecond
-	// hangWindow is within what time two requests without an answer, and none with one
-	// in between, show that a replica hangs. One alone is an answer that was lost.
+	// hangWindow is the time within which two unanswered requests, with no success in
+	// between, show that a replica hangs. A single one may be a lost answer.
 	hangWindow = 2 * time.Second
 )
 
-// confirmsHang tells whether a request that was left without an answer shows that the
-// replica confirmsHang, and not just that one answer was lost.
+// confirmsHang records an unanswered request and reports whether it shows that the
+// replica hangs, and not just that one answer was lost.
 func (r *replica) confirmsHang(at time.Time) bool {
 	before := r.lastHung
 	r.lastHung = at
 	return !r.lastSuccess.After(at.Add(-recentSuccessWindow)) && at.Sub(before) < hangWindow && !r.lastSuccess.After(before)
 }
 
-// recordFailure takes a failure that this router or another one saw at a time, and returns what it is
-// taken for, and whether it speaks against the replica.
+// recordFailure records a failure that this router or another one saw at a time. It
+// returns the kind that the failure is taken for, and whether it counts against the
+// replica.
 func (b *Balancer) recordFailure(r *replica, kind Failure, at time.Time) (taken Failure, speaks bool) {
 	if kind == Hung && !b.disabled.Has(mechanism.Evidence) && !r.confirmsHang(at) {
 		kind = Broke
@@ -200,8 +205,8 @@
 	return kind, true
 }
 
-// checkUnreachableCentre avoids a data centre once two of its replicas could not be
-// reached within a moment.
+// checkUnreachableCentre avoids a data centre once two of its replicas were unreachable
+// within a short time.
 func (b *Balancer) checkUnreachableCentre(name string, now time.Time) {
 	const moment = 2 * time.Second
 	unreachable := 0
@@ -221,9 +226,9 @@
 	c.recordFailure(Unreachable, now)
 }
 
-// SetCentreSilent notes whether the routers of a data centre were heard, and tells
-// whether that changed. A cut that keeps routers apart keeps replicas apart too,
-// and silence shows sooner than a request that got no answer.
+// SetCentreSilent sets whether the routers of a data centre have fallen silent and
+// reports whether that changed. A network partition that separates routers separates
+// replicas too, and silence shows sooner than an unanswered request.
 func (b *Balancer) SetCentreSilent(name string, silent bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -234,7 +239,7 @@
 	return true
 }
 
-// Suspected tells whether a replica is avoided now, for the state dump.
+// Suspected reports whether a replica is avoided now, for the state dump.
 func (b *Balancer) Suspected(id string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/balance/opens.go
+++ b/pkg/balance/opens.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// AvailableIn tells in what time a replica of a service is first to be given work again: 0
-// if one may have it now. It returns false if no such time is known: none is listed,
-// or all are in data centres that are silent, or excluded.
+// AvailableIn returns how long it takes until a replica of a service may get work again:
+// 0 if one may have it now. It returns false if that time is unknown: no replica is
+// listed, or all are excluded or in silent data centres.
 func (b *Balancer) AvailableIn(service string, excluded []string, now time.Time) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -23,7 +23,7 @@
 	return first, known
 }
 
-// remainingAvoidance is how long a replica, or its data centre, is still to be avoided.
+// remainingAvoidance returns how long a replica or its data centre is still avoided.
 func (b *Balancer) remainingAvoidance(r *replica, now time.Time) time.Duration {
 	until := r.health.avoidUntil
 	if c := b.centreHealth[r.DataCentre]; c != nil && c.avoidUntil.After(until) {
--- a/pkg/balance/pace.go
+++ b/pkg/balance/pace.go
@@ -7,7 +7,7 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// pace is how fast a replica works, as a moving mean of one kind of time.
+// pace is how fast a replica works: a moving average of durations of one kind.
 type pace struct {
 	mean    float64
 	samples int
@@ -16,12 +16,12 @@
 const (
 	// paceWeight is the weight of the newest sample.
 	paceWeight = 0.25
-	// minPaceSamples is how many samples it takes to judge.
+	// minPaceSamples is how many samples are needed to judge a replica.
 	minPaceSamples = 4
-	// slowFactor is how many times the median makes a replica slow.
+	// slowFactor is the multiple of the median pace above which a replica is slow.
 	slowFactor = 3
-	// slowPaceDecay is how much of a slow pace is forgotten with each look at it,
-	// so that a replica that gets no work is tried again.
+	// slowPaceDecay shrinks a slow pace each time it is checked, so that a replica that
+	// gets no work is tried again.
 	slowPaceDecay = 0.98
 )
 
@@ -33,8 +33,8 @@
 	p.mean += paceWeight * (sample - p.mean)
 }
 
-// RecordDuration notes how long a replica took for a piece of work that takes about the
-// same time at each replica of its service.
+// RecordDuration records how long a replica took for work that takes about the same time
+// at each replica of its service.
 func (b *Balancer) RecordDuration(id string, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,14 +43,13 @@
 	}
 }
 
-// median is the median pace of a service's replicas; zero if too few of them
-// have one.
+// median is the median pace of a service's replicas; 0 if too few of them have one.
 type median struct {
 	pace float64
 	at   time.Time
 }
 
-// medianLifetime is how long a median is used again.
+// medianLifetime is how long a median is reused.
 const medianLifetime = 100 * time.Millisecond
 
 // medianPace returns the median pace of a service's replicas.
@@ -74,7 +73,7 @@
 	return m.pace
 }
 
-// isSlow tells whether a replica is far slower than the median of its service.
+// isSlow reports whether a replica is far slower than the median of its service.
 func (b *Balancer) isSlow(r *replica, now time.Time) bool {
 	if r.pace.samples < minPaceSamples || b.disabled.Has(mechanism.Pace) {
 		return false
--- a/pkg/balance/reach.go
+++ b/pkg/balance/reach.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// probeInterval is how often a router sends a request to a service none of whose
-// replicas could be reached a moment ago: a connection that is not answered is given
-// up after 0.3 s, and it is to be noticed soon that one is.
+// probeInterval is how often a router sends a request to a service whose replicas were
+// all unreachable moments ago. An unanswered connection attempt is given up after 0.3 s,
+// and a recovery must be noticed soon.
 const probeInterval = 250 * time.Millisecond
 
-// isOutOfReach tells whether a replica, or another of its data centre, could not be
-// reached a moment ago, and it has not answered since. One that refuses connections
-// says so at once; trying it costs nothing.
+// isOutOfReach reports whether a replica, or another one in its data centre, was recently
+// unreachable and the replica has not answered since. A replica that refuses connections
+// does so at once, so trying it costs nothing.
 func (b *Balancer) isOutOfReach(r *replica, now time.Time) bool {
 	if noSuccessSinceFailure(&r.health, r, now) && r.health.kind == Unreachable {
 		return true
@@ -18,13 +18,14 @@
 	return centre != nil && noSuccessSinceFailure(centre, r, now)
 }
 
-// noSuccessSinceFailure tells whether a replica is avoided for a failure since which it has not
-// answered.
+// noSuccessSinceFailure reports whether a replica is avoided for a failure and has not
+// answered successfully since.
 func noSuccessSinceFailure(h *health, r *replica, now time.Time) bool {
 	return h.isAvoided(now) && !r.lastSuccess.After(h.lastFailure)
 }
 
-// startProbe tells whether a service is due to be tried although it is out of reach.
+// startProbe reports whether an unreachable service is due for another try, and records
+// the try.
 func (b *Balancer) startProbe(service string, now time.Time) bool {
 	if now.Sub(b.lastProbe[service]) < probeInterval {
 		return false
@@ -33,7 +34,8 @@
 	return true
 }
 
-// probePending tells whether a request is not to be sent even to the best of what is left.
+// probePending reports whether a request must not be sent even to the best remaining
+// replica, because it is unreachable and another request has just tried.
 func (b *Balancer) probePending(best *replica, now time.Time) bool {
 	return b.isOutOfReach(best, now) && !b.startProbe(best.Service, now)
 }
