--- a/pkg/balance/holders.go
+++ b/pkg/balance/holders.go
@@ -10,17 +10,17 @@
 const (
 	// maxRememberedParts is how many parts of prompts a router remembers holders of.
 	maxRememberedParts = 20000
-	// maxHoldersPerPart is how many holders of a part are remembered: one a data centre, and
-	// as many that requests were diverted to or that left.
+	// maxHoldersPerPart is how many holders of a part are remembered: one per data
+	// centre, and as many again that got diverted requests or have left.
 	maxHoldersPerPart = 8
-	// holderLifetime is how long an engine is taken to hold what it once read.
+	// holderLifetime is how long an engine is assumed to hold a part that it has read.
 	holderLifetime = 30 * time.Second
 )
 
-// holders remembers which engines were seen to hold a part of a prompt.
+// holders remembers which engines hold a part of a prompt.
 type holders struct {
 	parts *lru.Cache[uint64, []holderEntry]
-	// disabled: nothing is remembered, for experiments.
+	// disabled: no holders are remembered, for experiments.
 	disabled bool
 }
 
@@ -49,7 +49,7 @@
 	h.parts.Add(key, list[:min(len(list), maxHoldersPerPart)])
 }
 
-// removeReplica drops an engine from all lists.
+// removeReplica removes an engine from all lists.
 func (h *holders) removeReplica(id string) {
 	for _, key := range h.parts.Keys() {
 		list, _ := h.parts.Peek(key)
@@ -67,7 +67,7 @@
 	return slices.ContainsFunc(list, func(x holderEntry) bool { return x.id == id && now.Sub(x.at) < holderLifetime })
 }
 
-// list returns the holders of a part, the newest first.
+// list returns the holders of a part, newest first.
 func (h *holders) list(key uint64, now time.Time) []string {
 	list, _ := h.parts.Peek(key)
 	var ids []string
@@ -79,7 +79,8 @@
 	return ids
 }
 
-// holderRepeatTime is how long a note is not worth telling the other routers again.
+// holderRepeatTime is how long a known holder need not be announced to the other routers
+// again.
 const holderRepeatTime = 5 * time.Second
 
 func (h *holders) heardRecently(key uint64, id string, now time.Time) bool {
--- a/pkg/balance/left.go
+++ b/pkg/balance/left.go
@@ -6,18 +6,18 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// departedLifetime is how long a replica that is listed no more may still be copied from.
-// Many serve on for seconds after their entry is gone; from one that has ended
-// nothing comes, and the prompt is read as it would have been without a source.
+// departedLifetime is how long a replica that is no longer listed may still be copied
+// from. Many keep serving for seconds after their entry is gone. If the replica has
+// ended, the copy yields nothing, and the prompt is read as it would be without a source.
 const departedLifetime = 5 * time.Second
 
-// departedReplica is a replica that is listed no more.
+// departedReplica is a replica that is no longer listed.
 type departedReplica struct {
 	*replica
 	removedAt time.Time
 }
 
-// retainDeparted keeps the replicas that are listed no more as places to copy from.
+// retainDeparted keeps replicas that are no longer listed as copy sources.
 func (b *Balancer) retainDeparted(listed map[string]*replica, now time.Time) {
 	for id, l := range b.departed {
 		if listed[id] != nil || now.Sub(l.removedAt) > departedLifetime {
@@ -34,7 +34,7 @@
 	}
 }
 
-// copyableReplica returns the replica of an id if it may be copied from.
+// copyableReplica returns the replica with an id if it may be copied from.
 func (b *Balancer) copyableReplica(id string, now time.Time) *replica {
 	r := b.replicas[id]
 	if l, left := b.departed[id]; r == nil && left && now.Sub(l.removedAt) <= departedLifetime {
--- a/pkg/balance/lines.go
+++ b/pkg/balance/lines.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// LineCounts is what the routers of one line run. Most replicas run one request of
-// a line or none, so those with one take two bytes each.
+// LineCounts is what the routers of one line run. Most replicas run at most one request
+// of a line, so those with one take two bytes each.
 type LineCounts struct {
-	// Counts are the replicas that run more than one request of the line.
+	// Counts lists the replicas that run more than one request of the line.
 	Counts []ReplicaCount
-	// Singles are the short hashes of those that run one. Two replicas may share a
-	// short hash; one request more or less does no harm.
+	// Singles holds the 16-bit hashes of the replicas that run one. Two replicas may
+	// share a hash; an error of one request does no harm.
 	Singles []uint16
 }
 
-// SumLine returns what all routers of this one's line run, as they told it
-// lately, this one included.
+// SumLine returns what all routers of this router's line run, including this one, as
+// recently reported.
 func (b *Balancer) SumLine(now time.Time) LineCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,10 +39,11 @@
 	return told
 }
 
-// Line names a line of a fleet that is divided into a number of them.
+// Line identifies one of the groups of routers, called lines, into which a large fleet is
+// divided.
 type Line struct{ Number, Total int }
 
-// MergeLine takes what a router told of its line, with its rumors.
+// MergeLine takes the counts that a router reported for its line, with its rumors.
 func (b *Balancer) MergeLine(line Line, told LineCounts, rumors Rumors, now time.Time) {
 	b.mu.Lock()
 	counts := newPeerCounts(told.Counts, now)
--- a/pkg/balance/peers.go
+++ b/pkg/balance/peers.go
@@ -6,27 +6,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PeerUpdate is what one router tells the others. Replicas are named by Hash of
-// their ids.
+// PeerUpdate is what one router sends to the others. Replicas are identified by the
+// ReplicaHash of their ids.
 type PeerUpdate struct {
 	Running []ReplicaCount
 	Rumors
 }
 
-// ReplicaCount is what a router runs at a replica.
+// ReplicaCount is how many requests a router runs at a replica.
 type ReplicaCount struct {
 	Replica uint32
 	// Running is the number of requests.
 	Running int
 }
 
-// ReplicaHash names a replica among routers.
+// ReplicaHash identifies a replica among routers.
 func ReplicaHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// peerLifetime is how long another router's counts say something.
+// peerLifetime is how long another router's counts are meaningful.
 const peerLifetime = 2500 * time.Millisecond
 
-// peerCounts are the requests that one router runs, or one line, by replica.
+// peerCounts holds the requests that one router, or one line, runs at each replica.
 type peerCounts struct {
 	running map[uint32]ReplicaCount
 	at      time.Time
@@ -40,7 +40,7 @@
 	return counts
 }
 
-// addTo adds the counts to sums while they say something.
+// addTo adds the counts to sums unless they are too old.
 func (p peerCounts) addTo(sums map[uint32]ReplicaCount, now time.Time) {
 	if now.Sub(p.at) >= peerLifetime {
 		return
@@ -52,7 +52,8 @@
 	}
 }
 
-// TakePeerUpdate returns what the others are to know, each failure and holder once.
+// TakePeerUpdate returns what the other routers need to know. It returns each failure and
+// each holder once.
 func (b *Balancer) TakePeerUpdate(now time.Time) PeerUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,8 +67,8 @@
 	return told
 }
 
-// MergePeer takes what another router told of itself, of its own line in a large
-// fleet.
+// MergePeer takes what another router reported about itself; in a large fleet, a router
+// of the same line.
 func (b *Balancer) MergePeer(router string, t PeerUpdate, now time.Time) {
 	b.mu.Lock()
 	b.peers[router] = newPeerCounts(t.Running, now)
@@ -76,7 +77,7 @@
 	b.unlockAndNotify()
 }
 
-// RemovePeer drops what a router told that is no longer there.
+// RemovePeer drops the counts of a router that is gone.
 func (b *Balancer) RemovePeer(router string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,8 +85,8 @@
 	b.peerTotals = nil
 }
 
-// peerTotalsLifetime is how long a sum over the other routers is used again while none
-// of them tells anything new.
+// peerTotalsLifetime is how long the sum over the other routers is reused while none of
+// them sends an update.
 const peerTotalsLifetime = 50 * time.Millisecond
 
 // peerCount returns what the other routers run at a replica.
@@ -96,7 +97,7 @@
 	return b.peerTotals[hash]
 }
 
-// sumPeerCounts adds up what the other routers told lately.
+// sumPeerCounts adds up what the other routers recently reported.
 func (b *Balancer) sumPeerCounts(now time.Time) {
 	b.peerTotals, b.peerTotalsAt = make(map[uint32]ReplicaCount), now
 	for _, p := range b.peers {
--- a/pkg/balance/replicas.go
+++ b/pkg/balance/replicas.go
@@ -6,9 +6,9 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// SetReplicas takes the replicas of the directory, as they were at a time. Those
-// that drain or are evacuated get no new work, but may still be copied from: the
-// one that copies asks them, no router.
+// SetReplicas sets the replicas of the directory, as of now. Draining and evacuated
+// replicas get no new work but may still be copied from, since the copying engine asks
+// them, not a router.
 func (b *Balancer) SetReplicas(list []directory.Replica, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,8 +47,8 @@
 	clear(b.medians)
 }
 
-// ServiceEvacuated tells whether a service has no replica that may get work because its data
-// centres are evacuated.
+// ServiceEvacuated reports whether a service has no replica that may get work because its
+// data centres are evacuated.
 func (b *Balancer) ServiceEvacuated(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,14 +62,14 @@
 	return len(b.services[service])
 }
 
-// joinedRecently tells whether an engine joined a moment ago.
+// joinedRecently reports whether an engine joined recently.
 func (r *replica) joinedRecently(now time.Time) bool { return now.Sub(r.joinedAt) < newReplicaPeriod }
 
 const (
-	// newReplicaPeriod is for how long an engine that joined is taken to lack the parts
+	// newReplicaPeriod is how long an engine that joined is assumed to lack the parts
 	// whose home it became.
 	newReplicaPeriod = 15 * time.Second
-	// startupPeriod is for how long after the first list replicas that join may have
-	// been there before: entries come one by one when all start together.
+	// startupPeriod is how long after the first list a newly listed replica may have
+	// existed before: entries appear one by one when all start together.
 	startupPeriod = 5 * time.Second
 )
--- a/pkg/balance/restart.go
+++ b/pkg/balance/restart.go
@@ -6,26 +6,27 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// A replica that starts again under its id holds and knows nothing of before. What was
-// known of its earlier life is dropped; what comes late of it changes nothing.
+// A replica that restarts under its id keeps nothing from before. What was known of its
+// earlier life is dropped; late news about that life is ignored.
 
-// lateHolderWindow is for how long after a restart others may still tell that the replica
-// holds what it held before: rumors take two rounds of a large fleet.
+// lateHolderWindow is how long after a restart other routers may still report that the
+// replica holds what it held before: rumors take two gossip rounds of a large fleet.
 const lateHolderWindow = 1500 * time.Millisecond
 
-// ReplicaHooks are told what became of replicas, without a lock. Both may be nil.
+// ReplicaHooks are called when a replica restarts or is removed, without a lock held.
+// Both may be nil.
 type ReplicaHooks struct {
-	// Restarted: the replica started again under its id, at an address.
+	// Restarted: the replica with this id restarted, at this address.
 	Restarted func(id, address string)
-	// Removed: it is listed no more.
+	// Removed: the replica is no longer listed.
 	Removed func(id string)
 }
 
-// SetReplicaHooks sets who is told.
+// SetReplicaHooks sets the hooks.
 func (b *Balancer) SetReplicaHooks(e ReplicaHooks) { b.hooks.Store(&e) }
 
-// ReplicaRestarted notes that a replica started again under its id. Where the list does not
-// say so to all routers, they are told as a rumor.
+// ReplicaRestarted records that a replica restarted under its id. tell is set if the list
+// does not show this to all routers; then a rumor tells them.
 func (b *Balancer) ReplicaRestarted(id string, tell bool, now time.Time) {
 	b.mu.Lock()
 	r := b.replicas[id]
@@ -48,23 +49,23 @@
 	}
 }
 
-// ReplicaRemoved notes that a replica is listed no more.
+// ReplicaRemoved records that a replica is no longer listed.
 func (b *Balancer) ReplicaRemoved(id string) {
 	if e := b.hooks.Load(); e != nil && e.Removed != nil {
 		e.Removed(id)
 	}
 }
 
-// resetReplica drops what was known of a replica's earlier life. What this router runs there
-// ends by itself. b.mu is held.
+// resetReplica drops what was known of a replica's earlier life. Requests that this
+// router still runs there end on their own. b.mu is held.
 func (b *Balancer) resetReplica(r *replica, at time.Time) {
 	*r = replica{Replica: r.Replica, rankHash: r.rankHash, shortHash: r.shortHash, running: r.running, joinedAt: at, restartedAt: at}
 	b.holders.removeReplica(r.ID)
 	clear(b.medians)
 }
 
-// mergeRestart takes another router's word that a replica started again, and returns it
-// if that was news. b.mu is held.
+// mergeRestart handles another router's report that a replica restarted, and reports
+// whether it was new. b.mu is held.
 func (b *Balancer) mergeRestart(r *replica, at time.Time) bool {
 	if at.Sub(r.restartedAt) < restartDedupWindow {
 		return false
@@ -73,8 +74,8 @@
 	return true
 }
 
-// unlockAndNotify tells of the restarts that a rumor brought, without the lock, which is
-// held.
+// unlockAndNotify releases b.mu, which is held, and then calls the hooks for restarts
+// learned from rumors.
 func (b *Balancer) unlockAndNotify() {
 	restarts := b.pendingRestarts
 	b.pendingRestarts = nil
@@ -84,9 +85,10 @@
 	}
 }
 
-// restartDedupWindow is within what time words of a restart are of one: a replica is back after
-// some seconds at the earliest, and the list is read each second or so.
+// restartDedupWindow is the time within which reports of a restart refer to the same one:
+// a replica is back after some seconds at the earliest, and the list is read about once a
+// second.
 const restartDedupWindow = 2 * time.Second
 
-// isUsable tells whether a replica may be used for anything.
+// isUsable reports whether a replica may be used at all.
 func (r *replica) isUsable() bool { return r.State != directory.Unusable }
--- a/pkg/balance/rumors.go
+++ b/pkg/balance/rumors.go
@@ -6,15 +6,16 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// Rumors are what a router saw or was told since it last told, to be passed on.
+// Rumors are observations that a router made or received since its last update, to be
+// forwarded.
 type Rumors struct {
 	Failures []ObservedFailure
 	Holders  []PartHolder
 	Hot      []HotPart
 }
 
-// ObservedFailure is a failure that a router saw, with the steady time of the one
-// who holds it.
+// ObservedFailure is a failure that a router saw. At is on the monotonic clock of the
+// router that stores it.
 type ObservedFailure struct {
 	Replica uint32
 	Failure Failure
@@ -27,10 +28,11 @@
 	Replica uint32
 }
 
-// Empty tells whether there is nothing to tell.
+// Empty reports whether there is nothing to send.
 func (r Rumors) Empty() bool { return len(r.Failures)+len(r.Holders)+len(r.Hot) == 0 }
 
-// TakeRumors returns what the others are to know, each failure, holder and part once.
+// TakeRumors returns what the other routers need to know. It returns each failure, holder
+// and hot part once.
 func (b *Balancer) TakeRumors() Rumors {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,26 +41,26 @@
 	return rumors
 }
 
-// MergeRumors takes what another router saw or was told.
+// MergeRumors takes what another router observed or received.
 func (b *Balancer) MergeRumors(r Rumors, now time.Time) {
 	b.mu.Lock()
 	b.mergeRumors(r, now)
 	b.unlockAndNotify()
 }
 
-// rumorLifetime is how long a failure is worth passing on.
+// rumorLifetime is how long a failure is worth forwarding.
 const rumorLifetime = 2 * time.Second
 
-// Bounds of what waits to be told; the oldest is left out.
+// Limits on queued rumors; beyond them new ones are left out.
 const (
 	maxPendingFailures = 64
 	maxPendingHolders  = 4096
-	// maxPendingLarge is the same for both in a large fleet, where all that is told
-	// is passed on by all.
+	// maxPendingLarge is the limit for each kind in a large fleet, where every router
+	// forwards every rumor.
 	maxPendingLarge = 16
 )
 
-// maxPending is how much of a kind may wait to be told.
+// maxPending returns how many rumors of a kind may be queued.
 func (b *Balancer) maxPending(most int) int {
 	if b.largeFleet {
 		return maxPendingLarge
@@ -66,10 +68,10 @@
 	return most
 }
 
-// queueFailure and tellHolder keep something for the next Tell. b.mu is held.
+// queueFailure and queueHolder queue a rumor for the next update. b.mu is held.
 func (b *Balancer) queueFailure(r *replica, kind Failure, now time.Time) {
 	if b.largeFleet && kind == Shed {
-		// It is over before it has come round.
+		// The avoidance ends before the rumor has spread.
 		return
 	}
 	if len(b.pendingRumors.Failures) < b.maxPending(maxPendingFailures) {
@@ -83,8 +85,8 @@
 	}
 }
 
-// mergeRumors takes what another router saw or was told. In a large fleet what is
-// new is passed on, since its teller can't tell everybody. b.mu is held.
+// mergeRumors takes what another router observed or received. In a large fleet new rumors
+// are forwarded, since their sender can't reach every router. b.mu is held.
 func (b *Balancer) mergeRumors(t Rumors, now time.Time) {
 	for _, f := range t.Failures {
 		b.mergeFailure(f, now)
@@ -116,8 +118,9 @@
 		return
 	}
 	if b.largeFleet {
-		// Who is avoided already was told of already, on a quicker way or by another
-		// router: what comes late must not go round again.
+		// If the replica is avoided already, its failure has been forwarded already,
+		// having arrived by a faster path or from another router. A late rumor must not
+		// circulate again.
 		if r.health.isAvoided(now) || now.Sub(f.At) > rumorLifetime || f.Failure.isSoft() && b.tooManyAvoided(r.Service, now) {
 			return
 		}
@@ -140,7 +143,7 @@
 	b.holders.add(h.Part, r.ID, now)
 }
 
-// Holders returns who is known to hold which parts, for a router that starts.
+// Holders returns the known holders of all parts, for a router that starts.
 func (b *Balancer) Holders(now time.Time) []PartHolder {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -153,7 +156,7 @@
 	return list
 }
 
-// MergeHolders takes what another router knew of holders. What is known here is newer.
+// MergeHolders takes the holders that another router knew. What is known here is newer.
 func (b *Balancer) MergeHolders(list []PartHolder, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -164,7 +167,8 @@
 	}
 }
 
-// PartsReported takes what an engine itself said that it holds, and tells the others.
+// PartsReported records the parts that an engine itself reported to hold, and announces
+// them to the other routers.
 func (b *Balancer) PartsReported(id string, parts []Part, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
