--- a/pkg/balance/answered.go
+++ b/pkg/balance/answered.go
@@ -29,7 +29,7 @@
 	if r == nil {
 		return false
 	}
-	doubted := r.health.failures > 0
+	hadFailures := r.health.failures > 0
 	r.health.recordSuccess(now)
 	b.serviceOutcomes(r.Service).addSuccess(now)
 	r.lastSuccess = now
@@ -42,7 +42,7 @@
 		}
 		b.holders.add(part.ID, id, now)
 	}
-	return doubted && r.health.failures == 0
+	return hadFailures && r.health.failures == 0
 }
 
 // shouldAnnounceHolder reports whether other routers can't guess that an engine holds a
--- a/pkg/balance/balance.go
+++ b/pkg/balance/balance.go
@@ -223,10 +223,10 @@
 
 // SetHoldersSynced sets whether the known holders have been fetched from other routers
 // since the start.
-func (b *Balancer) SetHoldersSynced(recalled bool) {
+func (b *Balancer) SetHoldersSynced(synced bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.holdersSynced = recalled
+	b.holdersSynced = synced
 }
 
 // holdersUnknown reports whether parts may have holders that this router has not heard
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -93,8 +93,8 @@
 }
 
 // rate returns what one of them may send in a second, given the replica's rate.
-func (c *coldShares) rate(bears float64) float64 {
-	return bears * c.bounds.Overage / float64(membershipViews*c.senderCount())
+func (c *coldShares) rate(replicaRate float64) float64 {
+	return replicaRate * c.bounds.Overage / float64(membershipViews*c.senderCount())
 }
 
 // isSender reports whether this router is one of those that may send to a cold replica.
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -76,8 +76,8 @@
 
 func TestColdReplicaTakesOverflow(t *testing.T) {
 	for name, c := range map[string]struct {
-		parts []Part
-		spoil func(b *Balancer)
+		parts   []Part
+		prepare func(b *Balancer)
 	}{
 		"a prompt, the others failing": {prompt(1), func(b *Balancer) { b.RequestFailed("i-1", Refused, "dc0", start) }},
 		"plain, the others failing":    {nil, func(b *Balancer) { b.RequestFailed("i-1", Refused, "dc0", start) }},
@@ -90,7 +90,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := settledBalancer(makeCold(engines(2), start.Add(time.Minute), 0), "a", []string{"a"})
-			c.spoil(b)
+			c.prepare(b)
 			q := Request{Service: "llm", DataCentre: "dc0", Parts: c.parts, ColdRate: coldRate}
 			if name == "a prompt, the others tried" {
 				q.Tried = []string{"i-1"}
--- a/pkg/balance/engineload_test.go
+++ b/pkg/balance/engineload_test.go
@@ -17,30 +17,30 @@
 	)
 	cases := map[string]struct {
 		change func(f *engineFleet)
-		// over is the largest allowed share above what users allow, in any five seconds;
-		// inAim the least share of requests that must begin in time.
-		over, inAim float64
+		// maxOver is the largest allowed share above what users allow, in any five seconds;
+		// minOnTime the least share of requests that must begin in time.
+		maxOver, minOnTime float64
 	}{
 		"as usual": {
-			change: func(*engineFleet) {},
-			over:   0.01, inAim: 0.99,
+			change:  func(*engineFleet) {},
+			maxOver: 0.01, minOnTime: 0.99,
 		},
 		"a burst of 1.7 for 3 s": {
-			change: func(f *engineFleet) { f.burst(warm, warm+3*time.Second, 1.7) },
-			over:   0.01, inAim: 0.99,
+			change:  func(f *engineFleet) { f.burst(warm, warm+3*time.Second, 1.7) },
+			maxOver: 0.01, minOnTime: 0.99,
 		},
 		"half of the callers move to one data centre": {
-			change: func(f *engineFleet) { f.shift(warm, 0.5) },
-			over:   0.02, inAim: 0.99,
+			change:  func(f *engineFleet) { f.shift(warm, 0.5) },
+			maxOver: 0.02, minOnTime: 0.99,
 		},
 		"17 in 100 engines refuse, all at once": {
 			// The list shows the crash after 2.4 s.
-			change: func(f *engineFleet) { f.crash(warm, 2400*time.Millisecond, 6) },
-			over:   0.03, inAim: 0.95,
+			change:  func(f *engineFleet) { f.crash(warm, 2400*time.Millisecond, 6) },
+			maxOver: 0.03, minOnTime: 0.95,
 		},
 		"a data centre is lost": {
-			change: func(f *engineFleet) { f.loseDataCentre(warm, 2400*time.Millisecond, "dc1") },
-			over:   0.03, inAim: 0.93,
+			change:  func(f *engineFleet) { f.loseDataCentre(warm, 2400*time.Millisecond, "dc1") },
+			maxOver: 0.03, minOnTime: 0.93,
 		},
 	}
 	for name, c := range cases {
@@ -51,8 +51,8 @@
 			got := f.simulate(warm, length)
 			t.Logf("asked %d, in time %d, late %d, failed %d, above %.4f, read %d, of it again %d, copied %d",
 				got.asked, got.onTime, got.late, got.failed, got.worstOver(), got.read, got.reread, got.copied)
-			assert.LessOrEqual(t, got.worstOver(), c.over)
-			assert.GreaterOrEqual(t, float64(got.onTime)/float64(got.asked), c.inAim)
+			assert.LessOrEqual(t, got.worstOver(), c.maxOver)
+			assert.GreaterOrEqual(t, float64(got.onTime)/float64(got.asked), c.minOnTime)
 		})
 	}
 }
--- a/pkg/balance/evidence.go
+++ b/pkg/balance/evidence.go
@@ -71,8 +71,8 @@
 	if b.largeFleet {
 		// Failures arrive late and incompletely, so replicas count as healthy only if the
 		// service fails as a whole.
-		whole := own.failures >= outlierMargin*2*(own.successes+own.failures) && own.failures >= minOutlierFailures
-		return !whole && !b.tooManyAvoided(r.Service, now)
+		serviceFails := own.failures >= outlierMargin*2*(own.successes+own.failures) && own.failures >= minOutlierFailures
+		return !serviceFails && !b.tooManyAvoided(r.Service, now)
 	}
 	list := b.services[r.Service]
 	others := 0.0
@@ -84,13 +84,13 @@
 	}
 	r.softOutcomes.decay(now)
 	// A replica's share of the successes of all routers.
-	good := own.successes * float64(len(b.peers)+1) / float64(max(len(list), 1))
-	share := r.softOutcomes.failures / (r.softOutcomes.failures + good)
-	usual := others / math.Max(others+good*float64(len(list)-1), 1)
-	if r.health.failures > 0 && now.Sub(r.health.lastFailure) < failureResetTime && usual < calmFailureRate {
+	successes := own.successes * float64(len(b.peers)+1) / float64(max(len(list), 1))
+	share := r.softOutcomes.failures / (r.softOutcomes.failures + successes)
+	othersShare := others / math.Max(others+successes*float64(len(list)-1), 1)
+	if r.health.failures > 0 && now.Sub(r.health.lastFailure) < failureResetTime && othersShare < calmFailureRate {
 		return true
 	}
-	return r.softOutcomes.failures >= minOutlierFailures && share > 2*usual+outlierMargin
+	return r.softOutcomes.failures >= minOutlierFailures && share > 2*othersShare+outlierMargin
 }
 
 // tooManyAvoided reports whether so many replicas of a service are avoided for failures
--- a/pkg/balance/health.go
+++ b/pkg/balance/health.go
@@ -119,20 +119,20 @@
 
 // badness orders replicas that should be avoided; 0 means healthy.
 func (b *Balancer) badness(r *replica, now time.Time) int {
-	bad := 0
+	degree := 0
 	if b.isSlow(r, now) || r.atResumeLimit(now) {
-		bad = badSlow
+		degree = badSlow
 	}
 	if r.health.isAvoided(now) {
-		bad = badFailing
+		degree = badFailing
 		if r.health.kind >= Refused {
-			bad = badAbsent
+			degree = badAbsent
 		}
 	}
 	if b.isCutOff(r.DataCentre, now) {
-		bad = max(bad, badUnreachable)
+		degree = max(degree, badUnreachable)
 	}
-	return bad
+	return degree
 }
 
 // isCutOff reports whether a data centre appears to be unreachable.
--- a/pkg/balance/pace.go
+++ b/pkg/balance/pace.go
@@ -78,8 +78,8 @@
 	if r.pace.samples < minPaceSamples || b.disabled.Has(mechanism.Pace) {
 		return false
 	}
-	middle := b.medianPace(r.Service, now)
-	if middle == 0 || r.pace.mean <= slowFactor*middle {
+	servicePace := b.medianPace(r.Service, now)
+	if servicePace == 0 || r.pace.mean <= slowFactor*servicePace {
 		return false
 	}
 	r.pace.mean *= slowPaceDecay
--- a/pkg/balance/plainload_test.go
+++ b/pkg/balance/plainload_test.go
@@ -18,26 +18,26 @@
 	const fits = replicas * (plainSlots*500/60 + plainQueue)
 	cases := map[string]struct {
 		change func(f *plainFleet)
-		// inAim is the least share of requests that must be served in time, shed the most
+		// minOnTime is the least share of requests that must be served in time, shed the most
 		// that replicas may turn away, refused the most that callers may be refused.
-		inAim         float64
+		minOnTime     float64
 		shed, refused int
 	}{
 		"the usual rate": {
-			change: func(*plainFleet) {},
-			inAim:  0.99,
+			change:    func(*plainFleet) {},
+			minOnTime: 0.99,
 		},
 		"a burst of 1.7 for 3 s": {
 			// 70 in 100 slots are taken: all requests are served if they are spread
 			// evenly.
-			change: func(f *plainFleet) { f.burst(3*time.Second, 6*time.Second, 1.7) },
-			inAim:  0.99,
+			change:    func(f *plainFleet) { f.burst(3*time.Second, 6*time.Second, 1.7) },
+			minOnTime: 0.99,
 		},
 		"twice the rate, all the time": {
 			// 82 in 100 slots: some replica is full occasionally, and another one takes
 			// the request.
-			change: func(f *plainFleet) { f.burst(0, length, 2) },
-			inAim:  0.95, shed: 200, refused: 20,
+			change:    func(f *plainFleet) { f.burst(0, length, 2) },
+			minOnTime: 0.95, shed: 200, refused: 20,
 		},
 		"four of ten are replaced, one a second": {
 			// A new replica is reported as idle for up to 1.2 s: if all routers took it
@@ -47,7 +47,7 @@
 					f.after(time.Duration(3+i)*time.Second, func() { f.replace(fmt.Sprintf("p-%d", i), fmt.Sprintf("p-new-%d", i)) })
 				}
 			},
-			inAim: 0.99,
+			minOnTime: 0.99,
 		},
 		"seven of ten are gone, half of the callers too": {
 			change: func(f *plainFleet) {
@@ -56,13 +56,13 @@
 					f.replace(fmt.Sprintf("p-%d", i), "")
 				}
 			},
-			inAim: 0.98,
+			minOnTime: 0.98,
 		},
 		"everything returns after a restart": {
 			// Five times the rate for half a second, from routers without any counts:
 			// what does not fit is refused at once, and not much more than that.
-			change: func(f *plainFleet) { f.burst(0, 500*time.Millisecond, 5) },
-			inAim:  0.88, shed: 1000, refused: 13 * (5*int(plainRate)/2 - fits) / 10,
+			change:    func(f *plainFleet) { f.burst(0, 500*time.Millisecond, 5) },
+			minOnTime: 0.88, shed: 1000, refused: 13 * (5*int(plainRate)/2 - fits) / 10,
 		},
 	}
 	for name, c := range cases {
@@ -72,7 +72,7 @@
 			c.change(f)
 			got := f.simulate(length)
 			t.Logf("%+v", got)
-			assert.GreaterOrEqual(t, float64(got.onTime)/float64(got.asked), c.inAim)
+			assert.GreaterOrEqual(t, float64(got.onTime)/float64(got.asked), c.minOnTime)
 			assert.LessOrEqual(t, got.shed, c.shed)
 			assert.LessOrEqual(t, got.refused, c.refused)
 			assert.LessOrEqual(t, got.sent, got.asked+got.shed, "a request is sent again only when it was turned away")
--- a/pkg/balance/reach_test.go
+++ b/pkg/balance/reach_test.go
@@ -9,8 +9,8 @@
 
 func TestUnreachableServiceIsProbed(t *testing.T) {
 	type step struct {
-		at       time.Duration
-		hopeless bool
+		at          time.Duration
+		unreachable bool
 	}
 	unreachable := func(b *Balancer, ids ...string) {
 		for _, id := range ids {
@@ -49,7 +49,7 @@
 				b := newBalancer(engines(3))
 				c.prepare(b)
 				for _, s := range c.steps {
-					assert.Equal(t, s.hopeless, pick(t, b, parts, start.Add(s.at)).Unreachable, s.at)
+					assert.Equal(t, s.unreachable, pick(t, b, parts, start.Add(s.at)).Unreachable, s.at)
 				}
 			})
 		}
