--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -1,19 +1,20 @@
-// Package directory keeps which replicas may get new work, from full reads of
-// a list that is kept elsewhere.
+// Package directory tracks which replicas may receive new requests, based on full reads
+// of a list that is stored elsewhere.
 //
-//	listed and ready   -> gets work
-//	listed as draining -> gets nothing new
-//	evacuated          -> gets nothing new while its data centre is listed as such
-//	cold               -> listed with how long it will be; those who send count
-//	                      it down by their steady clocks
-//	listed by a copy   -> what was known before holds against it for a while
-//	no longer listed   -> gets nothing new, unless the list may be incomplete: when
-//	                      most of a service are missing at once, or a third after
-//	                      a pause between reads, they stay unconfirmed for a time,
-//	                      since their entries may have lapsed while they could
-//	                      not renew them
+//	listed and ready   -> receives requests
+//	listed as draining -> receives no new requests
+//	evacuated          -> receives no new requests while its data centre is listed as
+//	                      evacuated
+//	cold               -> listed with the remaining time, which each sender counts down
+//	                      by its monotonic clock
+//	listed by a copy   -> facts known before the list was restored override it for a while
+//	no longer listed   -> receives no new requests, unless the list may be incomplete:
+//	                      when most replicas of a service are missing at once, or a third
+//	                      after a pause between reads, they stay unconfirmed for a time,
+//	                      because their entries may have expired while they could not
+//	                      renew them
 //
-// The package does no I/O; time comes from the caller and is steady.
+// The package does no I/O. Callers pass in the time, which must be monotonic.
 package directory
 
 import (
@@ -22,133 +23,139 @@
 	"time"
 )
 
-// State is what the list says of a replica.
+// State is the state of a replica according to the list.
 type State uint8
 
-// The states.
+// The states of a replica.
 const (
 	Ready State = iota
 	Draining
-	// Unusable: its entry is not a replica's. It names nobody to send to.
+	// Unusable means that the entry was not written by a replica, so it has no address to
+	// send to.
 	Unusable
 )
 
 // Replica is one entry of the list.
 type Replica struct {
-	// ID names the replica, which may start again under it.
+	// ID identifies the replica and survives its restarts.
 	ID         string
 	Service    string
 	Address    string
 	DataCentre string
-	// Slots is the most requests that it runs at a time.
+	// Slots is the maximum number of requests that the replica runs concurrently.
 	Slots int
 	State State
-	// Entry is the revision of the replica's entry: it rises when the entry changes.
+	// Entry is the revision of the replica's entry. It rises when the entry changes.
 	Entry uint64
-	// Cold tells that the entry says that the replica is still slow from its start,
-	// and ColdLeft for how long from the read that lists it. Only the first tells one
-	// list from another: the second is another one at each read.
+	// Cold reports that the entry says the replica is still slow after its start, and
+	// ColdLeft for how much longer, as of the read that lists it. Only Cold distinguishes
+	// one list from another, because ColdLeft differs at each read.
 	Cold     bool
 	ColdLeft time.Duration
-	// ColdUntil is when it is warm, by this router's clock.
+	// ColdUntil is when the replica is warm, by this router's clock.
 	ColdUntil time.Time `json:"-"`
-	// Evacuated: nothing is to be sent to its data centre.
+	// Evacuated reports that the replica's data centre must receive no requests.
 	Evacuated bool `json:"-"`
-	// Born is when it started, in Unix milliseconds by its own clock, so that a later
-	// one is a later start; 0 if it is not known.
+	// Born is the start time in Unix milliseconds by the replica's own clock, so a
+	// greater value is a later start. 0 means unknown.
 	Born int64 `json:",omitempty"`
-	// NextSequence is one more than how far it says that it has counted since its start, known
-	// to who read the list itself; 0 if it is not known.
+	// NextSequence is one more than the sequence number that the replica has counted up
+	// to since its start. It is known only to a router that read the list itself; 0 means
+	// unknown.
 	NextSequence uint64 `json:"-"`
 }
 
-// Listing is what one read lists.
+// Listing is the result of one read of the list.
 type Listing struct {
 	Replicas []Replica
-	// Evacuated are the data centres to which nothing is to be sent.
+	// Evacuated are the data centres that must receive no requests.
 	Evacuated []string
 }
 
 // Change is a difference between two reads.
 type Change struct {
-	// Replica is the one that changed; empty where a data centre did.
+	// Replica is the replica that changed. It is empty if a data centre changed.
 	Replica Replica
-	// DataCentre is the data centre that changed, or empty.
+	// DataCentre is the data centre that changed. It is empty if a replica changed.
 	DataCentre string
 	Kind       ChangeKind
 }
 
-// ChangeKind says how a replica changed.
+// ChangeKind says how a replica or a data centre changed.
 type ChangeKind string
 
-// Directory is not safe for concurrent use.
+// Directory holds the replicas of the last read and what is known about them. It is not
+// safe for concurrent use.
 type Directory struct {
-	outage  time.Duration
-	grace   time.Duration
-	entries map[string]*entry
-	read    time.Time
-	// oldest is when the replica was last listed for which that is longest ago.
-	oldest time.Time
-	// evacuated are the data centres to which nothing is to be sent, sorted.
+	outageThreshold time.Duration
+	gracePeriod     time.Duration
+	entries         map[string]*entry
+	readTime        time.Time
+	// oldestListed is the earliest lastListed time of all entries.
+	oldestListed time.Time
+	// evacuated are the data centres that must receive no requests, sorted.
 	evacuated []string
-	// departed are those that left recently, by id.
-	departed map[string]departed
-	// rewind is what is known against a list that came back from a copy.
-	rewind rewind
-	// statements are what replicas said of themselves.
+	// departures are the replicas that left recently, by ID.
+	departures map[string]departure
+	// heldFacts override a list that was restored from a copy.
+	heldFacts heldFacts
+	// statements are what replicas said about themselves.
 	statements *Statements
 }
 
 type entry struct {
 	replica Replica
-	// idHash is of the replica's id, sums are of its content.
+	// idHash is the hash of the replica's ID, hashes are those of its content.
 	idHash uint64
-	sums   sums
-	// listed is when the last read was sent that listed it.
-	listed time.Time
-	// unconfirmedSince is when the entry was first missing after an outage.
+	hashes contentHashes
+	// lastListed is when the last read that listed the replica was sent.
+	lastListed time.Time
+	// unconfirmedSince is when the first read was sent that lacked the entry of an
+	// unconfirmed replica.
 	unconfirmedSince time.Time
-	// earlierStartSince is since when an earlier start is listed than the one known.
+	// earlierStartSince is since when the list has shown an earlier start than the known
+	// one.
 	earlierStartSince time.Time
-	// declared: an entry of the replica's own said that it drains.
-	declared bool
+	// declaredDraining reports that an entry written by the replica itself said it
+	// drains.
+	declaredDraining bool
 }
 
-// New returns an empty directory. A pause of more than outage between two reads
-// may have been an outage of the list; grace is for how long entries may lag behind the
-// state of their replicas: one that is missing after an outage stays unconfirmed for so
-// long, and those of a data centre that is taken back count as cold.
+// New returns an empty directory. A pause of more than outage between two reads may have
+// been an outage of the list. grace is how long entries may lag behind the state of their
+// replicas: a replica that is missing after an outage stays unconfirmed for that long,
+// and replicas of a data centre whose evacuation ends count as cold for that long.
 func New(outage, grace time.Duration) *Directory {
-	return &Directory{outage: outage, grace: grace, entries: make(map[string]*entry), departed: make(map[string]departed), statements: NewStatements()}
+	return &Directory{outageThreshold: outage, gracePeriod: grace, entries: make(map[string]*entry), departures: make(map[string]departure), statements: NewStatements()}
 }
 
-// Statements returns what replicas said of themselves.
+// Statements returns what replicas said about themselves.
 func (d *Directory) Statements() *Statements { return d.statements }
 
-// Replace is Apply of a read that leaves the data centres as they are.
+// Replace applies a read that leaves the evacuated data centres unchanged.
 func (d *Directory) Replace(list []Replica, sent time.Time) []Change {
 	return d.Apply(Listing{Replicas: list, Evacuated: d.evacuated}, sent)
 }
 
-// Apply applies a full read that was sent at a time, and returns what changed, data
-// centres first, then replicas by id. Reads sent before the last one applied are ignored.
+// Apply applies a full read that was sent at the given time and returns the changes: data
+// centres first, then replicas by ID. It ignores reads sent before the last one applied.
 func (d *Directory) Apply(l Listing, sent time.Time) []Change {
-	if sent.Before(d.read) {
+	if sent.Before(d.readTime) {
 		return nil
 	}
 	l = d.applyFacts(l, sent)
 	changes := d.applyReplicas(l.Replicas, sent)
-	return append(d.takeCentres(l.Evacuated), changes...)
+	return append(d.applyEvacuations(l.Evacuated), changes...)
 }
 
 func (d *Directory) applyReplicas(list []Replica, sent time.Time) []Change {
-	outage := !d.read.IsZero() && sent.Sub(d.read) > d.outage
-	d.read = sent
+	outage := !d.readTime.IsZero() && sent.Sub(d.readTime) > d.outageThreshold
+	d.readTime = sent
 	seen := make(map[string]bool, len(list))
 	for _, r := range list {
 		seen[r.ID] = true
 	}
-	lost := d.incomplete(seen, outage)
+	lost := d.servicesWithLostEntries(seen, outage)
 	var changes []Change
 	for _, r := range list {
 		changes = d.applyEntry(r, changes)
@@ -158,7 +165,7 @@
 			changes = d.handleMissing(id, e, lost[e.replica.Service], changes)
 		}
 	}
-	d.noteOldest()
+	d.updateOldestListed()
 	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Replica.ID, b.Replica.ID) })
 	return changes
 }
@@ -167,113 +174,117 @@
 	old, known := d.entries[r.ID]
 	if !known {
 		r.ColdUntil = d.coldUntil(r)
-		d.entries[r.ID] = &entry{replica: r, idHash: idHash(r.ID), sums: sumsOf(&r), listed: d.read, declared: d.declares(&r)}
-		d.statements.joined(&r, d.read, d.grace)
+		d.entries[r.ID] = &entry{replica: r, idHash: idHash(r.ID), hashes: hashContent(&r), lastListed: d.readTime, declaredDraining: d.declaresDraining(&r)}
+		d.statements.markJoined(&r, d.readTime, d.gracePeriod)
 		what := Joined
 		if r.State == Unusable {
 			what = EntryInvalidated
 		}
-		delete(d.departed, r.ID)
+		delete(d.departures, r.ID)
 		return append(changes, Change{Replica: r, Kind: what})
 	}
 	if d.listsEarlierStart(&r, old) {
 		r = keepLaterStart(r, old.replica)
 	} else {
-		old.declared = old.declared || d.declares(&r)
+		old.declaredDraining = old.declaredDraining || d.declaresDraining(&r)
 	}
-	what := d.warmth(&r, old.replica)
+	what := d.updateColdUntil(&r, old.replica)
 	switch {
 	case r.State == Unusable:
-		// When it started and how far it counted holds on, for its own next entry.
+		// Keep the start time and sequence number for comparison with the replica's own
+		// next entry.
 		r.Born, r.NextSequence = old.replica.Born, old.replica.NextSequence
 		if what = ""; old.replica.State != Unusable {
 			what = EntryInvalidated
 		}
 	case d.restarted(&r, &old.replica):
 		what = Restarted
-		old.declared = d.declares(&r)
-		d.statements.listedStart(r.ID, d.read)
+		old.declaredDraining = d.declaresDraining(&r)
+		d.statements.markListedStart(r.ID, d.readTime)
 	case r.State == Draining && old.replica.State != Draining:
 		what = DrainStarted
 	case old.replica.State == Unusable:
 		what = EntryUsableAgain
 	case r.State == Ready && old.replica.State == Draining:
 		what = ListedAgain
-		if old.declared && !d.rewound(d.read) {
-			old.declared = false
-			d.statements.withdrawn(r.ID, d.read)
+		if old.declaredDraining && !d.holdsFacts(d.readTime) {
+			old.declaredDraining = false
+			d.statements.withdrawShutdown(r.ID, d.readTime)
 		}
 	case !old.unconfirmedSince.IsZero():
 		what = ListedAgain
 	}
-	if r.NextSequence == 0 || d.rewound(d.read) {
+	if r.NextSequence == 0 || d.holdsFacts(d.readTime) {
 		r.NextSequence = max(r.NextSequence, old.replica.NextSequence)
 	}
 	if what != "" {
 		changes = append(changes, Change{Replica: r, Kind: what})
 	}
 	if !sameContent(&r, &old.replica) {
-		old.sums = sumsOf(&r)
+		old.hashes = hashContent(&r)
 	}
 	old.replica = r
-	old.listed = d.read
+	old.lastListed = d.readTime
 	old.unconfirmedSince = time.Time{}
 	return changes
 }
 
-// declares reports whether an entry of a replica's own says that it drains. While what was
-// known holds against a copy, an entry may say so for that only.
-func (d *Directory) declares(r *Replica) bool { return r.State == Draining && !d.rewound(d.read) }
+// declaresDraining reports whether an entry written by the replica itself says that it
+// drains. While facts override a restored list, an entry may be draining only because of
+// them.
+func (d *Directory) declaresDraining(r *Replica) bool {
+	return r.State == Draining && !d.holdsFacts(d.readTime)
+}
 
-func (d *Directory) noteOldest() {
-	d.oldest = d.read
+func (d *Directory) updateOldestListed() {
+	d.oldestListed = d.readTime
 	for _, e := range d.entries {
-		if e.listed.Before(d.oldest) {
-			d.oldest = e.listed
+		if e.lastListed.Before(d.oldestListed) {
+			d.oldestListed = e.lastListed
 		}
 	}
 }
 
-// Ready reports whether a replica may have new work by the list: it is listed as ready, or
-// unconfirmed, and its data centre is not evacuated.
+// Ready reports whether a replica may receive new requests according to the list: it is
+// listed as ready, or unconfirmed, and its data centre is not evacuated.
 func (d *Directory) Ready(id string) bool {
 	e, known := d.entries[id]
 	return known && e.replica.State == Ready && !slices.Contains(d.evacuated, e.replica.DataCentre)
 }
 
-// Confirm notes that a read that was sent at a time would have returned the same
-// list as Listed, and returns what changed.
+// Confirm records that a read sent at the given time would have returned the same list as
+// Listed, and returns the changes.
 //
-// Mostly nothing can change by it, and only the time is recorded: a router receives a new
-// proof some times a second, and applying all replicas as of a new read is expensive.
+// Without unconfirmed replicas nothing can change, so Confirm records only the time: a
+// router receives a new proof several times a second, and applying all replicas as a new
+// read is expensive.
 func (d *Directory) Confirm(sent time.Time) []Change {
 	if d.hasUnconfirmed() {
 		return d.Replace(d.Listed(), sent)
 	}
-	if sent.Before(d.read) {
+	if sent.Before(d.readTime) {
 		return nil
 	}
-	d.read, d.oldest = sent, sent
+	d.readTime, d.oldestListed = sent, sent
 	for _, e := range d.entries {
-		e.listed = sent
+		e.lastListed = sent
 	}
 	return nil
 }
 
-// listed returns those of Listed that are wanted.
+// listed returns the replicas of Listed for which wanted returns true.
 func (d *Directory) listed(wanted func(*entry) bool) []Replica {
 	list := d.list(func(e *entry) bool { return e.unconfirmedSince.IsZero() && wanted(e) })
 	for i := range list {
-		list[i].ColdLeft = max(list[i].ColdUntil.Sub(d.read), 0)
+		list[i].ColdLeft = max(list[i].ColdUntil.Sub(d.readTime), 0)
 	}
 	return list
 }
 
-// ReadTime returns when the read that the directory rests on was sent; zero before
-// the first.
-func (d *Directory) ReadTime() time.Time { return d.read }
+// ReadTime returns when the last applied read was sent, or zero before the first one.
+func (d *Directory) ReadTime() time.Time { return d.readTime }
 
-// List returns all replicas, draining ones included, sorted by id.
+// List returns all replicas, including draining ones, sorted by ID.
 func (d *Directory) List() []Replica {
 	return d.list(func(*entry) bool { return true })
 }
--- a/pkg/directory/eligibility.go
+++ b/pkg/directory/eligibility.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Whether a replica may have a new request is decided by, in this order:
+// Eligibility of a replica for a new request is decided by, in this order:
 //
 //	the list: not listed, unusable, draining, evacuated
 //	the replica's own statements: announced its shutdown, asked for rest
 //	the age of the list: the replica may have left since, unless it was seen serving
 //
-// It is asked when a replica is chosen, and again before bytes are written to it.
+// It is checked when a replica is chosen, and again before bytes are written to it.
 
-// Reason tells why a replica gets no new requests.
+// Reason is why a replica receives no new requests.
 type Reason string
 
-// The reasons.
+// The reasons for an exclusion.
 const (
 	NotListed           Reason = "not listed"
 	EntryUnusable       Reason = "entry unusable"
@@ -27,32 +27,34 @@
 	NotListedRecently   Reason = "not listed recently"
 )
 
-// Exclusion tells that a replica gets no new requests, and why.
+// Exclusion says that a replica receives no new requests, and why.
 type Exclusion struct {
 	ID     string
 	Reason Reason
-	// Since is when the reason began, Until when it ends; zero: not known.
+	// Since is when the reason began and Until when it ends; zero means unknown.
 	Since, Until time.Time
-	// LastResort: it may still have a request for which there is no other replica.
+	// LastResort reports that the replica may still receive a request that no other
+	// replica can take.
 	LastResort bool
 }
 
-// Conditions are what eligibility depends on besides the directory.
+// Conditions are the inputs to eligibility besides the directory.
 type Conditions struct {
 	Now time.Time
-	// MaxListAge is the greatest age of a list by which requests are sent, and for how long a
-	// replica may serve on that announced its shutdown. 0: lists do not age, and such a
-	// replica gets nothing.
+	// MaxListAge is the maximum age of a list used to send requests, and how long a
+	// replica that announced its shutdown may keep serving. With 0 lists do not age, and
+	// such a replica receives nothing.
 	MaxListAge time.Duration
-	// StoreUnavailable tells whether no router has had an answer of the list's store for
-	// Limit; nil: one has. It is asked only where it matters.
+	// StoreUnavailable reports whether no router has received an answer from the list's
+	// store for MaxListAge. Nil means that one has. It is called only when the result
+	// matters.
 	StoreUnavailable func() bool
-	// LastUnavailable is when that was last so.
+	// LastUnavailable is when the store was last unavailable.
 	LastUnavailable time.Time
 }
 
-// Exclusion tells whether a replica gets no new requests. Of several reasons the first
-// in the order above is returned.
+// Exclusion reports whether a replica receives no new requests. Of several reasons it
+// returns the first in the order above.
 func (d *Directory) Exclusion(id string, c Conditions) (x Exclusion, excluded bool) {
 	e, known := d.entries[id]
 	if !known {
@@ -71,11 +73,11 @@
 	return x, excluded
 }
 
-// Exclusions returns those of a service's replicas that are listed as ready and get no new
-// requests. One that is excluded for two reasons may stand in it twice.
+// Exclusions returns the replicas of a service that are listed as ready but receive no
+// new requests. A replica that is excluded for two reasons may appear twice.
 func (d *Directory) Exclusions(service string, c Conditions) []Exclusion {
 	var list []Exclusion
-	d.statements.eachBinding(c.Now, func(id string, said Statement) {
+	d.statements.eachExcluding(c.Now, func(id string, said Statement) {
 		e, known := d.entries[id]
 		if !known || e.replica.Service != service {
 			return
@@ -87,7 +89,7 @@
 			list = append(list, x)
 		}
 	})
-	if c.MaxListAge == 0 || !d.oldest.Before(c.Now.Add(-c.MaxListAge)) {
+	if c.MaxListAge == 0 || !d.oldestListed.Before(c.Now.Add(-c.MaxListAge)) {
 		return list
 	}
 	for _, e := range d.entries {
@@ -101,7 +103,7 @@
 	return list
 }
 
-// byList excludes by what the list says.
+// byList excludes a replica because of the list.
 func (d *Directory) byList(e *entry) (Exclusion, bool) {
 	x := Exclusion{ID: e.replica.ID}
 	switch {
@@ -117,7 +119,7 @@
 	return x, true
 }
 
-// byStatement excludes by what a replica said of itself.
+// byStatement excludes a replica because of its own statements.
 func byStatement(r *Replica, said Statement, c Conditions) (Exclusion, bool) {
 	x := Exclusion{ID: r.ID}
 	rests := c.Now.Before(said.RestUntil)
@@ -133,17 +135,17 @@
 	return x, true
 }
 
-// byAge excludes a replica that may have announced its shutdown too long ago: no list named
-// it within the limit, and neither was it seen serving. While the store is unavailable
-// nobody can know more, and all may be used.
+// byAge excludes a replica that may have announced its shutdown too long ago: no list
+// named it within the maximum age, and it was not seen serving within it. While the store
+// is unavailable no router can know more, so all replicas may be used.
 func (d *Directory) byAge(e *entry, c Conditions) (Exclusion, bool) {
 	since := c.Now.Add(-c.MaxListAge)
-	if c.MaxListAge == 0 || !e.unlisted(since, c.LastUnavailable) {
+	if c.MaxListAge == 0 || !e.notListedSince(since, c.LastUnavailable) {
 		return Exclusion{}, false
 	}
-	// A list that is young enough decides: some replicas that leave announce nothing and go
-	// on answering.
-	if !d.read.After(since) {
+	// A recent list decides alone, because some replicas that leave announce nothing and
+	// keep answering.
+	if !d.readTime.After(since) {
 		if c.StoreUnavailable != nil && c.StoreUnavailable() {
 			return Exclusion{}, false
 		}
@@ -151,5 +153,5 @@
 			return Exclusion{}, false
 		}
 	}
-	return Exclusion{ID: e.replica.ID, Reason: NotListedRecently, Since: e.listed}, true
+	return Exclusion{ID: e.replica.ID, Reason: NotListedRecently, Since: e.lastListed}, true
 }
--- a/pkg/directory/parts.go
+++ b/pkg/directory/parts.go
@@ -8,69 +8,68 @@
 )
 
 const (
-	// partReplicas is how many replicas a part of a list has in the mean, or up to
-	// twice as many. What changed is sent with the others of its part, and each part is
-	// requested with a sum: with few parts much is sent beside what changed, with many
-	// there are more sums than replicas that changed.
-	partReplicas = 8
-	// leastParts is for lists of which all is small.
-	leastParts = 16
+	// replicasPerPart is the average number of replicas in a part of a list, or up to
+	// twice as many. A changed replica is sent with the others of its part, and each part
+	// is requested by its hash: with few parts many unchanged replicas are sent, and with
+	// many parts there are more hashes than changed replicas.
+	replicasPerPart = 8
+	// minParts applies to short lists, for which everything is small.
+	minParts = 16
 )
 
-// Excerpt is what one list has that another has not: some of its parts, whole.
+// Excerpt holds the parts of one list that differ from another list, each part complete.
 type Excerpt struct {
-	// PartCount is into how many parts both lists were divided, Differ the numbers of those
-	// that are sent.
+	// PartCount is the number of parts into which both lists are divided. DifferingParts
+	// are the indices of those in the excerpt.
 	PartCount      int
 	DifferingParts []uint32
 	Listing
 }
 
-// parts is into how many parts a list of n is divided: a power of two.
-func parts(n int) int {
-	count := leastParts
-	for 2*partReplicas*count <= n {
+// countParts returns the number of parts of a list of n replicas, a power of two.
+func countParts(n int) int {
+	count := minParts
+	for 2*replicasPerPart*count <= n {
 		count *= 2
 	}
 	return count
 }
 
-// idHash is what a replica's part goes by.
+// idHash returns the hash that assigns a replica to a part.
 func idHash(id string) uint64 { return xxhash.Sum64String(id) }
 
-// HashFormat is what of a list its mark and sums tell. Builds differ in it, and run beside each
-// other: a router speaks to each in the form that this one understands. Where no replica
-// says when it started both forms are the same.
+// HashFormat is the set of fields that the hashes of a list cover. Builds with different
+// formats run side by side, so a router uses the format that each peer understands. Both
+// formats are equal for a list in which no replica has a start time.
 type HashFormat uint8
 
-// The forms, the oldest first. A new field of an entry needs another one.
+// The formats, oldest first. A new field of an entry requires a new format.
 const (
 	HashPlain HashFormat = iota
-	// HashWithStarts tells when replicas started too.
+	// HashWithStarts also covers the start times of replicas.
 	HashWithStarts
-	forms
+	hashFormats
 )
 
-// sums name the content of an entry in each form.
-type sums [forms]uint64
+// contentHashes are the hashes of an entry's content, one per format.
+type contentHashes [hashFormats]uint64
 
-// sumsOf names the content of an entry, but for how long the replica stays cold, which
-// is another time at each read.
-func sumsOf(r *Replica) sums {
+// hashContent hashes the content of an entry except ColdLeft, which differs at each read.
+func hashContent(r *Replica) contentHashes {
 	if r.State == Unusable {
-		// What its earlier entry said is known to some routers only.
+		// Only some routers know what the previous entry said.
 		sum := xxhash.Sum64(fmt.Appendf(nil, "%q %d", r.ID, r.State))
-		return sums{sum, sum}
+		return contentHashes{sum, sum}
 	}
 	text := fmt.Appendf(nil, "%q %q %q %q %d %d %t", r.ID, r.Service, r.Address, r.DataCentre, r.Slots, r.State, r.Cold)
 	plain := xxhash.Sum64(text)
 	if r.Born == 0 {
-		return sums{plain, plain}
+		return contentHashes{plain, plain}
 	}
-	return sums{plain, xxhash.Sum64(fmt.Appendf(text, " %d", r.Born))}
+	return contentHashes{plain, xxhash.Sum64(fmt.Appendf(text, " %d", r.Born))}
 }
 
-// sameContent tells whether two entries of one replica have the same sums.
+// sameContent reports whether two entries of one replica have the same hashes.
 func sameContent(a, b *Replica) bool {
 	if a.State == Unusable && b.State == Unusable {
 		return true
@@ -79,40 +78,43 @@
 		a.Slots == b.Slots && a.State == b.State && a.Cold == b.Cold && a.Born == b.Born
 }
 
-// sum distinguishes an entry from that of another list. An entry of a cold replica
-// that was written anew may tell that it stays cold for longer.
-func (e *entry) sum(f HashFormat) uint32 {
-	sum := e.sums[f]
+// partTerm returns the entry's term in the hash of its part. It includes the revision of
+// a cold replica's entry, because a rewritten entry may say that the replica stays cold
+// for longer.
+func (e *entry) partTerm(f HashFormat) uint32 {
+	sum := e.hashes[f]
 	if e.replica.Cold {
 		sum ^= e.replica.Entry
 	}
 	return uint32(sum ^ sum>>32)
 }
 
-// PartHashes returns a sum of each part of what the last read listed, for another router to
-// see which of its parts differ.
-func (d *Directory) PartHashes(f HashFormat) []uint32 { return d.sums(f, parts(len(d.entries))) }
+// PartHashes returns a hash of each part of the last read, from which another router
+// finds the parts that differ from its own.
+func (d *Directory) PartHashes(f HashFormat) []uint32 {
+	return d.partHashes(f, countParts(len(d.entries)))
+}
 
-func (d *Directory) sums(f HashFormat, count int) []uint32 {
+func (d *Directory) partHashes(f HashFormat, count int) []uint32 {
 	sums := make([]uint32, count)
 	for _, e := range d.entries {
 		if e.unconfirmedSince.IsZero() {
-			sums[e.part(count)] += e.sum(f)
+			sums[e.partIndex(count)] += e.partTerm(f)
 		}
 	}
 	return sums
 }
 
-// part is the number of the part to which an entry belongs.
-func (e *entry) part(count int) uint32 { return uint32(e.idHash % uint64(count)) }
+// partIndex returns the index of the part that the entry belongs to.
+func (e *entry) partIndex(count int) uint32 { return uint32(e.idHash % uint64(count)) }
 
-// DetectHashFormat returns the form of the sums of another list: that in which more of its parts
-// are alike.
+// DetectHashFormat returns the format of another list's part hashes: the one in which
+// more of them match.
 func (d *Directory) DetectHashFormat(theirs []uint32) HashFormat {
 	best, most := HashWithStarts, -1
-	for f := forms; f > 0; f-- {
+	for f := hashFormats; f > 0; f-- {
 		alike := 0
-		for i, sum := range d.sums(f-1, len(theirs)) {
+		for i, sum := range d.partHashes(f-1, len(theirs)) {
 			if sum == theirs[i] {
 				alike++
 			}
@@ -124,8 +126,8 @@
 	return best
 }
 
-// FillStartTimes returns a list of another router with the starts that are known here of those
-// replicas of which it tells none: it may be of a build that knows nothing of them.
+// FillStartTimes returns another router's list with known start times filled in where it
+// has none, because that router's build may not support them.
 func (d *Directory) FillStartTimes(l Listing) Listing {
 	l.Replicas = slices.Clone(l.Replicas)
 	for i := range l.Replicas {
@@ -137,24 +139,23 @@
 	return l
 }
 
-// Excerpt returns the parts of what the last read listed that differ from a list of
-// some sums in a form.
+// Excerpt returns the parts of the last read that differ from a list with the given part
+// hashes.
 func (d *Directory) Excerpt(f HashFormat, theirs []uint32) Excerpt {
 	x := Excerpt{PartCount: len(theirs)}
 	differs := make([]bool, len(theirs))
-	for i, sum := range d.sums(f, len(theirs)) {
+	for i, sum := range d.partHashes(f, len(theirs)) {
 		if sum != theirs[i] {
 			differs[i] = true
 			x.DifferingParts = append(x.DifferingParts, uint32(i))
 		}
 	}
-	x.Replicas = d.listed(func(e *entry) bool { return differs[e.part(len(theirs))] })
+	x.Replicas = d.listed(func(e *entry) bool { return differs[e.partIndex(len(theirs))] })
 	x.Evacuated = slices.Clone(d.evacuated)
 	return x
 }
 
-// MergeExcerpt returns what the last read listed, with the parts of an excerpt in the place of
-// its own.
+// MergeExcerpt returns the last read with the parts of an excerpt replacing its own.
 func (d *Directory) MergeExcerpt(x Excerpt) Listing {
 	differ := make([]bool, x.PartCount)
 	for _, part := range x.DifferingParts {
@@ -162,6 +163,6 @@
 			differ[part] = true
 		}
 	}
-	own := d.listed(func(e *entry) bool { return len(differ) == 0 || !differ[e.part(len(differ))] })
+	own := d.listed(func(e *entry) bool { return len(differ) == 0 || !differ[e.partIndex(len(differ))] })
 	return Listing{Replicas: append(own, x.Replicas...), Evacuated: x.Evacuated}
 }
--- a/pkg/directory/rewind.go
+++ b/pkg/directory/rewind.go
@@ -10,108 +10,111 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A list may be lost and come back from a copy that is some seconds old: then it shows
-// the past until its writers have written again.
+// A list may be lost and restored from a copy that is some seconds old. It is then
+// outdated until its writers have written again.
 //
-//	known to drain, or gone   -> gets nothing, whatever the copy says, until it started
-//	                             again or the hold is over
-//	known to be evacuated     -> stays so until the hold is over
-//	not in the copy           -> keeps its work for the grace, as after an outage
-//	evacuated in the copy     -> evacuated: the operator may have asked again
+//	known to drain or left -> receives nothing, whatever the copy says, until it restarts
+//	                          or the hold period is over
+//	known to be evacuated  -> stays evacuated until the hold period is over
+//	not in the copy        -> stays unconfirmed for the grace period, as after an outage
+//	evacuated in the copy  -> evacuated, because the operator may have requested it again
 //
-// What one router knew reaches the others as facts, so that one that started after the
-// copy, and knows nothing, applies them too.
+// Routers pass on what they knew as facts, so that a router that started after the
+// restore, and knows nothing, applies them too.
 
-// holdGraces is for how many graces facts hold: the grace is the two heartbeats within
-// which a replica that lives has written again, and the entry of one that is gone lapses
-// after three, so with four none is believed that nobody writes any more.
-const holdGraces = 2
+// holdGracePeriods is how many grace periods facts apply. The grace period is the two
+// heartbeats within which a live replica has written again, and the entry of one that is
+// gone expires after three. With four, no entry is trusted that nobody writes any more.
+const holdGracePeriods = 2
 
 const (
-	// goneKept is for how long it is remembered who left: copies are some seconds old.
-	goneKept = 30 * time.Second
-	// maxGone bounds those that are remembered: more than a release replaces in goneKept.
-	maxGone = 4096
+	// departureRetention is how long departed replicas are remembered: copies are some
+	// seconds old.
+	departureRetention = 30 * time.Second
+	// maxDepartures bounds the remembered departures. It exceeds the number of replicas
+	// that a release replaces within departureRetention.
+	maxDepartures = 4096
 )
 
-// Fact is what was known of a replica before the list came back from a copy: it drains,
-// or is gone. It holds for the start that it names and for earlier ones.
+// Fact is what was known about a replica before the list was restored from a copy: it
+// drains, or it is gone. It applies to the start that it names and to earlier ones.
 type Fact struct {
 	ID   string
 	Born int64 `json:",omitempty"`
 	Gone bool  `json:",omitempty"`
 }
 
-// Facts are what is known against a list that came back from a copy.
+// Facts is what is known to be outdated in a list that was restored from a copy.
 type Facts struct {
 	Replicas  []Fact   `json:",omitempty"`
 	Evacuated []string `json:",omitempty"`
-	// Left is for how long they hold on.
+	// Left is how long the facts still apply.
 	Left time.Duration
 }
 
-// rewind is what is known against the list; the zero value is nothing.
-type rewind struct {
+// heldFacts are the facts that override the list. The zero value holds none.
+type heldFacts struct {
 	until     time.Time
 	replicas  map[string]Fact
 	evacuated []string
 }
 
-// GracePeriod is for how long entries may lag behind what they tell.
-func (d *Directory) GracePeriod() time.Duration { return d.grace }
+// GracePeriod returns how long entries may lag behind the state that they describe.
+func (d *Directory) GracePeriod() time.Duration { return d.gracePeriod }
 
-// HoldPeriod is for how long what was known holds against a copy.
-func (d *Directory) HoldPeriod() time.Duration { return holdGraces * d.grace }
+// HoldPeriod returns how long facts override a restored list.
+func (d *Directory) HoldPeriod() time.Duration { return holdGracePeriods * d.gracePeriod }
 
-// departed is who left.
-type departed struct {
+// departure is the start and the time of a replica that left.
+type departure struct {
 	born int64
 	at   time.Time
 }
 
-// NoteRewind notes that the list came back from a copy by a time at the latest. What is known
-// so far holds against it for a time.
+// NoteRewind records that the list was restored from a copy, at the given time at the
+// latest. Everything known so far overrides the list for the hold period.
 func (d *Directory) NoteRewind(by time.Time, hold time.Duration) {
-	d.hold(by, hold)
+	d.extendHold(by, hold)
 	for id, e := range d.entries {
 		if e.replica.State == Draining {
-			d.rewind.add(Fact{ID: id, Born: e.replica.Born})
+			d.heldFacts.add(Fact{ID: id, Born: e.replica.Born})
 		}
 	}
-	for id, left := range d.departed {
-		if by.Sub(left.at) <= goneKept {
-			d.rewind.add(Fact{ID: id, Born: left.born, Gone: true})
+	for id, left := range d.departures {
+		if by.Sub(left.at) <= departureRetention {
+			d.heldFacts.add(Fact{ID: id, Born: left.born, Gone: true})
 		}
 	}
-	d.rewind.evacuate(d.evacuated)
+	d.heldFacts.addEvacuated(d.evacuated)
 }
 
-// hold begins a hold at a time, or makes one that is not over last longer.
-func (d *Directory) hold(at time.Time, left time.Duration) {
-	if !d.rewound(at) {
-		d.rewind = rewind{replicas: make(map[string]Fact)}
+// extendHold starts holding facts at the given time, or extends a hold that is not over.
+func (d *Directory) extendHold(at time.Time, left time.Duration) {
+	if !d.holdsFacts(at) {
+		d.heldFacts = heldFacts{replicas: make(map[string]Fact)}
 	}
-	if until := at.Add(left); until.After(d.rewind.until) {
-		d.rewind.until = until
+	if until := at.Add(left); until.After(d.heldFacts.until) {
+		d.heldFacts.until = until
 	}
 }
 
-// Facts returns what is known against the list at a time; false if nothing is to be.
+// Facts returns the facts that override the list at the given time, or false if none are
+// held.
 func (d *Directory) Facts(now time.Time) (Facts, bool) {
-	if !d.rewound(now) {
+	if !d.holdsFacts(now) {
 		return Facts{}, false
 	}
-	f := Facts{Evacuated: slices.Clone(d.rewind.evacuated), Left: d.rewind.until.Sub(now)}
-	for _, id := range slices.Sorted(maps.Keys(d.rewind.replicas)) {
-		f.Replicas = append(f.Replicas, d.rewind.replicas[id])
+	f := Facts{Evacuated: slices.Clone(d.heldFacts.evacuated), Left: d.heldFacts.until.Sub(now)}
+	for _, id := range slices.Sorted(maps.Keys(d.heldFacts.replicas)) {
+		f.Replicas = append(f.Replicas, d.heldFacts.replicas[id])
 	}
 	return f, true
 }
 
-// gone stands in a sum of facts where a state does else.
-const gone = 0xff
+// goneState stands for the state of a replica that is gone in the hash of facts.
+const goneState = 0xff
 
-// FactsHash names what Facts returns by its content: 0 for nothing.
+// FactsHash returns a hash of what Facts returns, or 0 if no facts are held.
 func (d *Directory) FactsHash(now time.Time) uint32 {
 	f, held := d.Facts(now)
 	if !held {
@@ -121,7 +124,7 @@
 	for _, r := range f.Replicas {
 		state := byte(Draining)
 		if r.Gone {
-			state = gone
+			state = goneState
 		}
 		// A hash's Write returns no error.
 		_, _ = sum.WriteString(r.ID)
@@ -133,23 +136,23 @@
 	return max(uint32(sum.Sum64()), 1)
 }
 
-// ApplyFacts takes what another router knew at a time against the list, and returns what
-// changes by it.
+// ApplyFacts applies the facts that another router held at the given time and returns the
+// changes.
 func (d *Directory) ApplyFacts(f Facts, at time.Time) []Change {
-	d.hold(at, min(f.Left, d.HoldPeriod()))
+	d.extendHold(at, min(f.Left, d.HoldPeriod()))
 	for _, r := range f.Replicas {
-		d.rewind.add(r)
+		d.heldFacts.add(r)
 	}
-	d.rewind.evacuate(f.Evacuated)
-	if d.read.IsZero() || !d.rewound(d.read) {
+	d.heldFacts.addEvacuated(f.Evacuated)
+	if d.readTime.IsZero() || !d.holdsFacts(d.readTime) {
 		return nil
 	}
-	return d.Apply(d.Listing(), d.read)
+	return d.Apply(d.Listing(), d.readTime)
 }
 
-// add adds a fact. Of two of a replica that which tells more holds: the later start, and
-// that it is gone.
-func (w *rewind) add(f Fact) {
+// add adds a fact. Of two facts about one replica, the later start takes precedence, and
+// gone over draining.
+func (w *heldFacts) add(f Fact) {
 	old, known := w.replicas[f.ID]
 	if known && (old.Born > f.Born || old.Born == f.Born && old.Gone) {
 		return
@@ -157,25 +160,25 @@
 	w.replicas[f.ID] = f
 }
 
-func (w *rewind) evacuate(centres []string) {
+func (w *heldFacts) addEvacuated(centres []string) {
 	w.evacuated = append(w.evacuated, centres...)
 	slices.Sort(w.evacuated)
 	w.evacuated = slices.Compact(w.evacuated)
 }
 
-// rewound tells whether facts are held against a list that was read at a time.
-func (d *Directory) rewound(read time.Time) bool { return read.Before(d.rewind.until) }
+// holdsFacts reports whether facts override a list read at the given time.
+func (d *Directory) holdsFacts(read time.Time) bool { return read.Before(d.heldFacts.until) }
 
-// applyFacts returns a list that was read at a time as it is in the light of what was known,
-// or as it is once the hold is over.
+// applyFacts returns a list read at the given time with the held facts applied. Once the
+// hold period is over, it drops the facts and returns the list unchanged.
 func (d *Directory) applyFacts(l Listing, read time.Time) Listing {
-	if !d.rewound(read) {
-		d.rewind = rewind{}
+	if !d.holdsFacts(read) {
+		d.heldFacts = heldFacts{}
 		return l
 	}
-	filtered := Listing{Replicas: make([]Replica, 0, len(l.Replicas)), Evacuated: slices.Concat(l.Evacuated, d.rewind.evacuated)}
+	filtered := Listing{Replicas: make([]Replica, 0, len(l.Replicas)), Evacuated: slices.Concat(l.Evacuated, d.heldFacts.evacuated)}
 	for _, r := range l.Replicas {
-		fact, known := d.fact(&r)
+		fact, known := d.factFor(&r)
 		if known && fact.Gone {
 			continue
 		}
@@ -187,32 +190,32 @@
 	return filtered
 }
 
-// fact returns what is known of a replica that has not started again since.
-func (d *Directory) fact(r *Replica) (f Fact, known bool) {
-	f, known = d.rewind.replicas[r.ID]
+// factFor returns the fact about a replica if the replica has not restarted since.
+func (d *Directory) factFor(r *Replica) (f Fact, known bool) {
+	f, known = d.heldFacts.replicas[r.ID]
 	return f, known && (r.Born == 0 || r.Born <= f.Born)
 }
 
-// noteDeparted notes who left.
-func (d *Directory) noteDeparted(r *Replica) {
-	if len(d.departed) >= maxGone {
-		d.forgetDeparted()
+// recordDeparture records that a replica left.
+func (d *Directory) recordDeparture(r *Replica) {
+	if len(d.departures) >= maxDepartures {
+		d.pruneDepartures()
 	}
-	d.departed[r.ID] = departed{born: r.Born, at: d.read}
-	d.statements.missing(r, d.read)
+	d.departures[r.ID] = departure{born: r.Born, at: d.readTime}
+	d.statements.markMissing(r, d.readTime)
 }
 
-// forgetDeparted forgets who left long ago, and the earlier half of all if that is not
+// pruneDepartures removes old departures, and the earlier half of all if that is not
 // enough.
-func (d *Directory) forgetDeparted() {
-	maps.DeleteFunc(d.departed, func(_ string, left departed) bool { return d.read.Sub(left.at) > goneKept })
-	if len(d.departed) < maxGone {
+func (d *Directory) pruneDepartures() {
+	maps.DeleteFunc(d.departures, func(_ string, left departure) bool { return d.readTime.Sub(left.at) > departureRetention })
+	if len(d.departures) < maxDepartures {
 		return
 	}
-	ids := slices.SortedFunc(maps.Keys(d.departed), func(a, b string) int {
-		return cmp.Or(d.departed[a].at.Compare(d.departed[b].at), cmp.Compare(a, b))
+	ids := slices.SortedFunc(maps.Keys(d.departures), func(a, b string) int {
+		return cmp.Or(d.departures[a].at.Compare(d.departures[b].at), cmp.Compare(a, b))
 	})
 	for _, id := range ids[:len(ids)/2] {
-		delete(d.departed, id)
+		delete(d.departures, id)
 	}
 }
--- a/pkg/directory/rewind_test.go
+++ b/pkg/directory/rewind_test.go
@@ -194,12 +194,12 @@
 	assert.Equal(t, []string{"a", "b"}, sends(d))
 
 	d = newRewound(ready("b"))
-	for n := range 2 * maxGone {
+	for n := range 2 * maxDepartures {
 		d.Replace(ready("b", fmt.Sprint("x", n)), at(float64(n)/1000))
 		d.Replace(ready("b"), at(float64(n)/1000))
 	}
-	assert.LessOrEqual(t, len(d.departed), maxGone)
-	assert.Contains(t, d.departed, fmt.Sprint("x", 2*maxGone-1), "the last are kept")
+	assert.LessOrEqual(t, len(d.departures), maxDepartures)
+	assert.Contains(t, d.departures, fmt.Sprint("x", 2*maxDepartures-1), "the last are kept")
 }
 
 func TestADrainThatIsTakenBackIsAChange(t *testing.T) {
--- a/pkg/directory/statements.go
+++ b/pkg/directory/statements.go
@@ -5,66 +5,73 @@
 	"time"
 )
 
-// Statements are what replicas said of themselves in their answers to this router.
+// Statements holds what replicas said about themselves in their answers to this router.
 //
-//	announced its shutdown -> until the replica starts again, or its entry takes it back
-//	asked for rest         -> until the time that it asked for is over, or it starts again
-//	seen serving           -> an answer without a sign of leaving
+//	announced its shutdown -> until the replica restarts or its entry withdraws it
+//	asked for rest         -> until the requested time is over or the replica restarts
+//	seen serving           -> an answer without a sign of shutting down
 //
-// They are first-hand, so a list of replicas, which may be older, ends none of them. They
-// are safe for concurrent use.
+// Statements are first-hand, so a list of replicas, which may be older, ends none of
+// them. Statements is safe for concurrent use.
 type Statements struct {
-	mu sync.Mutex
-	of map[string]*statement
-	// bind are the ids of listed replicas that announced a shutdown or asked for a rest.
-	bind   map[string]struct{}
-	pruned time.Time
+	mu      sync.Mutex
+	records map[string]*statementRecord
+	// excluding are the IDs of listed replicas that announced a shutdown or asked for
+	// rest.
+	excluding map[string]struct{}
+	pruned    time.Time
 }
 
-// Statement is what one replica said.
+// Statement is what one replica said about itself.
 type Statement struct {
-	// DrainingSince is when the first answer came that announced the shutdown; zero: none.
+	// DrainingSince is when the first answer arrived that announced the shutdown, or
+	// zero.
 	DrainingSince time.Time
-	// RestUntil is the latest end of a rest that was asked for; zero: none.
+	// RestUntil is the latest requested end of a rest, or zero.
 	RestUntil time.Time
-	// ServingAt is when the latest request was sent whose answer shows no sign of leaving.
+	// ServingAt is when the latest request was sent whose answer shows no sign of
+	// shutting down.
 	ServingAt time.Time
 }
 
-type statement struct {
+type statementRecord struct {
 	Statement
-	// startListed is when the read was sent that first listed the replica's present start.
-	// Answers to earlier requests may be of the start before; zero: no other is known.
+	// startListed is when the read was sent that first listed the replica's current
+	// start. Answers to earlier requests may come from the previous start. Zero means
+	// that no other start is known.
 	startListed time.Time
-	// born is when a replica started that is listed no more, in its own words; 0: not known.
+	// born is the start time, by its own clock, of a replica that is no longer listed; 0
+	// means unknown.
 	born int64
-	// missingSince is when the first read was sent that did not list it.
+	// missingSince is when the first read that did not list the replica was sent.
 	missingSince time.Time
-	// changed is when anything was last noted.
-	changed time.Time
+	// changedAt is when the record last changed.
+	changedAt time.Time
 }
 
 const (
-	// sameRestart is within what time a list and another router report one restart.
-	sameRestart = 2 * time.Second
-	// statementKept is for how long statements of a replica are kept that is listed no more.
-	statementKept = 10 * time.Minute
-	// prunePause is the least time between two searches for statements to forget.
-	prunePause = 10 * time.Second
+	// sameRestartWindow is the time within which a list and another router report the
+	// same restart.
+	sameRestartWindow = 2 * time.Second
+	// statementRetention is how long statements that exclude no listed replica are kept
+	// after their last change.
+	statementRetention = 10 * time.Minute
+	// pruneInterval is the minimum time between two calls that remove old statements.
+	pruneInterval = 10 * time.Second
 )
 
 // NewStatements returns an empty set.
 func NewStatements() *Statements {
-	return &Statements{of: make(map[string]*statement), bind: make(map[string]struct{})}
+	return &Statements{records: make(map[string]*statementRecord), excluding: make(map[string]struct{})}
 }
 
-// statement returns that of a replica, for a request sent at a time; nil if the replica
-// may have started again since. s.mu is held.
-func (s *Statements) statement(id string, sent time.Time) *statement {
-	one := s.of[id]
+// recordFor returns the record of a replica for the answer to a request sent at the given
+// time, or nil if the replica may have restarted since. s.mu is held.
+func (s *Statements) recordFor(id string, sent time.Time) *statementRecord {
+	one := s.records[id]
 	if one == nil {
-		one = &statement{}
-		s.of[id] = one
+		one = &statementRecord{}
+		s.records[id] = one
 	}
 	if sent.Before(one.startListed) {
 		return nil
@@ -72,98 +79,99 @@
 	return one
 }
 
-// MarkDraining records that the answer to a request sent at a time announced the
-// replica's shutdown, and tells whether that is news.
+// MarkDraining records that the answer to a request sent at the given time announced the
+// replica's shutdown, and reports whether that is new.
 func (s *Statements) MarkDraining(id string, sent, now time.Time) (news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one := s.statement(id, sent)
+	one := s.recordFor(id, sent)
 	if one == nil {
 		return false
 	}
-	one.changed, one.ServingAt = now, time.Time{}
+	one.changedAt, one.ServingAt = now, time.Time{}
 	if !one.DrainingSince.IsZero() {
 		return false
 	}
 	one.DrainingSince = now
-	s.bind[id] = struct{}{}
+	s.excluding[id] = struct{}{}
 	return true
 }
 
-// MarkResting records that the answer to a request sent at a time asked for no requests
-// until another, and tells whether the replica was not at rest before. Of several ends
-// the latest holds.
+// MarkResting records that the answer to a request sent at the given time asked for no
+// requests until another time, and reports whether the replica was not resting before.
+// The latest of several ends applies.
 func (s *Statements) MarkResting(id string, sent, until, now time.Time) (news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one := s.statement(id, sent)
+	one := s.recordFor(id, sent)
 	if one == nil {
 		return false
 	}
 	news = !one.RestUntil.After(now)
-	one.changed = now
-	s.bind[id] = struct{}{}
+	one.changedAt = now
+	s.excluding[id] = struct{}{}
 	if until.After(one.RestUntil) {
 		one.RestUntil = until
 	}
 	return news
 }
 
-// MarkServing records that the answer to a request sent at a time shows no sign of
-// leaving.
+// MarkServing records that the answer to a request sent at the given time shows no sign
+// of shutting down.
 func (s *Statements) MarkServing(id string, sent, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.prune(now)
-	one := s.statement(id, sent)
+	one := s.recordFor(id, sent)
 	if one == nil || !one.DrainingSince.IsZero() || !sent.After(one.ServingAt) {
 		return
 	}
-	one.changed, one.ServingAt = now, sent
+	one.changedAt, one.ServingAt = now, sent
 }
 
-// ForgetServing removes that a replica was seen serving: it may be leaving.
+// ForgetServing clears ServingAt of a replica, because it may be shutting down.
 func (s *Statements) ForgetServing(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if one := s.of[id]; one != nil {
+	if one := s.records[id]; one != nil {
 		one.ServingAt = time.Time{}
 	}
 }
 
-// Get returns what a replica said.
+// Get returns what a replica said about itself.
 func (s *Statements) Get(id string) Statement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if one := s.of[id]; one != nil {
+	if one := s.records[id]; one != nil {
 		return one.Statement
 	}
 	return Statement{}
 }
 
-// eachBinding calls visit for the statements that exclude listed replicas at a time.
-func (s *Statements) eachBinding(now time.Time, visit func(id string, said Statement)) {
+// eachExcluding calls visit for each statement that excludes a listed replica at the
+// given time.
+func (s *Statements) eachExcluding(now time.Time, visit func(id string, said Statement)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id := range s.bind {
-		one := s.of[id]
-		if !one.binds(now) {
-			delete(s.bind, id)
+	for id := range s.excluding {
+		one := s.records[id]
+		if !one.excludes(now) {
+			delete(s.excluding, id)
 			continue
 		}
 		visit(id, one.Statement)
 	}
 }
 
-// binds reports whether a statement excludes its replica at a time.
-func (s *Statement) binds(now time.Time) bool {
+// excludes reports whether the statement excludes its replica at the given time.
+func (s *Statement) excludes(now time.Time) bool {
 	return !s.DrainingSince.IsZero() || now.Before(s.RestUntil)
 }
 
-// CountExcluded returns how many listed replicas announced their shutdown, and how many more are
-// at a rest that they asked for.
+// CountExcluded returns how many listed replicas announced their shutdown, and how many
+// others are resting at their own request.
 func (s *Statements) CountExcluded(now time.Time) (draining, resting int) {
-	s.eachBinding(now, func(_ string, said Statement) {
+	s.eachExcluding(now, func(_ string, said Statement) {
 		if !said.DrainingSince.IsZero() {
 			draining++
 			return
@@ -173,58 +181,59 @@
 	return draining, resting
 }
 
-// MarkRestarted ends all statements of a replica that started again, as another router reported
-// at a time. A restart that a list has just shown is not counted twice.
+// MarkRestarted discards all statements of a replica that another router reported as
+// restarted at the given time. It does not count a restart twice that a list has just
+// shown.
 func (s *Statements) MarkRestarted(id string, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if one := s.of[id]; one != nil && at.Sub(one.startListed) < sameRestart {
+	if one := s.records[id]; one != nil && at.Sub(one.startListed) < sameRestartWindow {
 		return
 	}
-	s.started(id, at)
+	s.reset(id, at)
 }
 
-// listedStart ends all statements of a replica: a read sent at a time is the first to list
-// a later start.
-func (s *Statements) listedStart(id string, read time.Time) {
+// markListedStart discards all statements of a replica when a read sent at the given time
+// is the first to list a later start.
+func (s *Statements) markListedStart(id string, read time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.started(id, read)
+	s.reset(id, read)
 }
 
-// started begins the statements of a replica anew. s.mu is held.
-func (s *Statements) started(id string, at time.Time) {
-	s.of[id] = &statement{startListed: at, changed: at}
-	delete(s.bind, id)
+// reset replaces the record of a replica with an empty one. s.mu is held.
+func (s *Statements) reset(id string, at time.Time) {
+	s.records[id] = &statementRecord{startListed: at, changedAt: at}
+	delete(s.excluding, id)
 }
 
-// withdrawn ends an announced shutdown that the replica's entry took back, in a read sent
-// at a time.
-func (s *Statements) withdrawn(id string, read time.Time) {
+// withdrawShutdown ends an announced shutdown that the replica's entry withdrew in a read
+// sent at the given time.
+func (s *Statements) withdrawShutdown(id string, read time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if one := s.of[id]; one != nil && one.DrainingSince.Before(read) {
+	if one := s.records[id]; one != nil && one.DrainingSince.Before(read) {
 		one.DrainingSince = time.Time{}
 	}
 }
 
-// missing notes that a read sent at a time does not list a replica any more.
-func (s *Statements) missing(r *Replica, read time.Time) {
+// markMissing records that a read sent at the given time no longer lists a replica.
+func (s *Statements) markMissing(r *Replica, read time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if one := s.of[r.ID]; one != nil {
+	if one := s.records[r.ID]; one != nil {
 		one.born, one.missingSince = r.Born, read
-		delete(s.bind, r.ID)
+		delete(s.excluding, r.ID)
 	}
 }
 
-// joined notes that a read sent at a time lists a replica that the one before did not.
-// Its entry may have lapsed and come back, or it started again: by when it says that it
-// started, else by how long it was missing.
-func (s *Statements) joined(r *Replica, read time.Time, grace time.Duration) {
+// markJoined records that a read sent at the given time lists a replica that the previous
+// read did not. Either its entry expired and was written again, or the replica restarted:
+// the start times decide, or without them how long the entry was missing.
+func (s *Statements) markJoined(r *Replica, read time.Time, grace time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one := s.of[r.ID]
+	one := s.records[r.ID]
 	if one == nil {
 		return
 	}
@@ -235,23 +244,23 @@
 	one.missingSince = time.Time{}
 	switch {
 	case started:
-		s.started(r.ID, read)
-	case one.binds(read):
-		s.bind[r.ID] = struct{}{}
+		s.reset(r.ID, read)
+	case one.excludes(read):
+		s.excluding[r.ID] = struct{}{}
 	}
 }
 
 // prune removes old statements that exclude no listed replica. s.mu is held.
 func (s *Statements) prune(now time.Time) {
-	if now.Sub(s.pruned) < prunePause {
+	if now.Sub(s.pruned) < pruneInterval {
 		return
 	}
 	s.pruned = now
-	for id, one := range s.of {
+	for id, one := range s.records {
 		listed := one.missingSince.IsZero()
-		if !(listed && one.binds(now)) && now.Sub(one.changed) > statementKept {
-			delete(s.of, id)
-			delete(s.bind, id)
+		if !(listed && one.excludes(now)) && now.Sub(one.changedAt) > statementRetention {
+			delete(s.records, id)
+			delete(s.excluding, id)
 		}
 	}
 }
--- a/pkg/directory/unconfirmed.go
+++ b/pkg/directory/unconfirmed.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// A replica that the list names no more has left, or its entry lapsed while the replica
-// lives, in an outage or behind a partition. Where that is likely it stays unconfirmed and
-// keeps its work for a while:
+// A replica that is no longer listed has left, or its entry expired while the replica is
+// alive, in an outage or behind a partition. Where an expired entry is likely, the
+// replica stays unconfirmed and keeps receiving requests for a while:
 //
-//	listed again              -> its entry had lapsed
-//	closes its connections    -> it leaves
-//	neither, for the grace    -> it has left
+//	listed again                  -> its entry had expired
+//	closes its connections        -> it is leaving
+//	neither, for the grace period -> it has left
 //
-// For how long it may get requests: Unlisted.
+// NotListedSince limits how long it may receive requests.
 
-// incomplete returns the services of which so many replicas are missing at once that it is
-// no release and no scaling, but a list that lost entries: most of them, since an
-// outage may have been too short to be seen here, or a third after a pause between two
-// reads. A pause alone says little: it may be this router's reads that came late,
-// while the others saw those replicas drain and leave. A copy lacks all that joined since.
-func (d *Directory) incomplete(seen map[string]bool, pause bool) map[string]bool {
-	rewound := d.rewound(d.read)
+// servicesWithLostEntries returns the services of which so many replicas are missing at
+// once that the list lost entries, rather than a release or scaling: most of them,
+// because this router may not notice a short outage, or a third after a pause between two
+// reads. A pause alone is weak evidence: this router's reads may have been late, while
+// other routers saw those replicas drain and leave. A restored list lacks every replica
+// that joined after the copy.
+func (d *Directory) servicesWithLostEntries(seen map[string]bool, pause bool) map[string]bool {
+	rewound := d.holdsFacts(d.readTime)
 	listed, vanished := make(map[string]int), make(map[string]int)
 	for id, e := range d.entries {
 		if e.replica.State != Ready || !e.unconfirmedSince.IsZero() {
@@ -38,35 +39,36 @@
 	return lost
 }
 
-// handleMissing handles a replica that a read does not list.
+// handleMissing marks a replica that a read does not list as unconfirmed, or removes it.
 func (d *Directory) handleMissing(id string, e *entry, lost bool, changes []Change) []Change {
-	fact, _ := d.fact(&e.replica)
+	fact, _ := d.factFor(&e.replica)
 	if e.unconfirmedSince.IsZero() && lost && !fact.Gone && e.replica.State == Ready && !d.addressTaken(id, e.replica.Address) {
-		e.unconfirmedSince = d.read
+		e.unconfirmedSince = d.readTime
 		return append(changes, Change{Replica: e.replica, Kind: Unconfirmed})
 	}
-	if !e.unconfirmedSince.IsZero() && d.read.Sub(e.unconfirmedSince) < d.grace {
+	if !e.unconfirmedSince.IsZero() && d.readTime.Sub(e.unconfirmedSince) < d.gracePeriod {
 		return changes
 	}
 	delete(d.entries, id)
-	d.noteDeparted(&e.replica)
+	d.recordDeparture(&e.replica)
 	return append(changes, Change{Replica: e.replica, Kind: Left})
 }
 
-// RemoveUnconfirmed removes an unconfirmed replica that closed its connection, as one that
-// leaves does, and returns what changed. For one that is listed the list decides.
+// RemoveUnconfirmed removes an unconfirmed replica that closed its connection, as a
+// replica that shuts down does, and returns the changes. For a listed replica the list
+// decides.
 func (d *Directory) RemoveUnconfirmed(id string) []Change {
 	e, known := d.entries[id]
 	if !known || e.unconfirmedSince.IsZero() {
 		return nil
 	}
 	delete(d.entries, id)
-	d.noteDeparted(&e.replica)
+	d.recordDeparture(&e.replica)
 	return []Change{{Replica: e.replica, Kind: ConnectionsClosed}}
 }
 
-// UnconfirmedSince returns when the first read was sent that did not list an unconfirmed
-// replica; zero for any other.
+// UnconfirmedSince returns when the first read that did not list an unconfirmed replica
+// was sent, or zero for any other replica.
 func (d *Directory) UnconfirmedSince(id string) time.Time {
 	if e, known := d.entries[id]; known {
 		return e.unconfirmedSince
@@ -74,7 +76,7 @@
 	return time.Time{}
 }
 
-// addressTaken reports whether another replica is listed at the address.
+// addressTaken reports whether another replica has the address.
 func (d *Directory) addressTaken(id, address string) bool {
 	for other, e := range d.entries {
 		if other != id && e.replica.Address == address {
@@ -84,7 +86,7 @@
 	return false
 }
 
-// hasUnconfirmed reports whether replicas are kept that the last read did not list.
+// hasUnconfirmed reports whether any replica is kept that the last read did not list.
 func (d *Directory) hasUnconfirmed() bool {
 	for _, e := range d.entries {
 		if !e.unconfirmedSince.IsZero() {
--- a/pkg/directory/warmth.go
+++ b/pkg/directory/warmth.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// coldUntil is when a replica that was just listed is warm. Its entry said how long
-// it stays cold when it was written, so that this is rather late than early.
+// coldUntil returns when a replica that was just listed is warm. Its entry holds the
+// remaining cold time as of its writing, so the result is late rather than early.
 func (d *Directory) coldUntil(r Replica) time.Time {
 	if r.ColdLeft <= 0 {
 		return time.Time{}
 	}
-	return d.read.Add(r.ColdLeft)
+	return d.readTime.Add(r.ColdLeft)
 }
 
-// warmth carries over until when a replica is cold, or takes it from an entry that
-// has changed, and tells what changed for those who send: nothing if an entry only
-// counts down.
-func (d *Directory) warmth(r *Replica, old Replica) ChangeKind {
+// updateColdUntil keeps ColdUntil of a replica or updates it from a changed entry, and
+// returns the change that senders need to know, which is none if an entry only counts
+// down.
+func (d *Directory) updateColdUntil(r *Replica, old Replica) ChangeKind {
 	r.ColdUntil = old.ColdUntil
 	if r.Entry == old.Entry && r.Cold == old.Cold {
 		return ""
@@ -27,8 +27,8 @@
 	case r.Cold && until.After(old.ColdUntil):
 		r.ColdUntil = until
 		return TurnedCold
-	case !r.Cold && d.rewound(d.read):
-		// A copy may be of before it turned cold.
+	case !r.Cold && d.holdsFacts(d.readTime):
+		// A restored list may be older than the change to cold.
 		return ""
 	case !r.Cold && (old.Cold || !old.ColdUntil.IsZero()):
 		r.ColdUntil = until
@@ -37,9 +37,10 @@
 	return ""
 }
 
-// takeCentres takes the data centres that are evacuated. The replicas of one that is
-// taken back may have turned cold, and their entries tell it a little later.
-func (d *Directory) takeCentres(evacuated []string) []Change {
+// applyEvacuations sets the evacuated data centres and returns the changes. When an
+// evacuation ends, replicas may have turned cold, which their entries report a little
+// later.
+func (d *Directory) applyEvacuations(evacuated []string) []Change {
 	now := slices.Clone(evacuated)
 	slices.Sort(now)
 	now = slices.Compact(now)
@@ -59,10 +60,10 @@
 	return changes
 }
 
-// assumeCold takes the replicas of a data centre for cold until their entries must have
-// said whether they are.
+// assumeCold treats the replicas of a data centre as cold until their entries must have
+// been updated.
 func (d *Directory) assumeCold(centre string) {
-	until := d.read.Add(d.grace)
+	until := d.readTime.Add(d.gracePeriod)
 	for _, e := range d.entries {
 		if e.replica.DataCentre == centre && until.After(e.replica.ColdUntil) {
 			e.replica.ColdUntil = until
