--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -9,7 +9,8 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-// ApplySnapshot applies the result of a read that was sent at a time, or returns ErrPast.
+// ApplySnapshot applies the result of a read that was sent at the given time, or returns
+// ErrStaleGeneration.
 func (w *Watcher) ApplySnapshot(s Snapshot, sent time.Time) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -18,42 +19,44 @@
 	}
 	w.applyConfig(s, sent)
 	w.handleChanges(w.directory.Apply(s.listing(), sent))
-	w.noteBad(s.BadReplicas)
+	w.logBadEntries(s.BadReplicas)
 	w.notifyRead()
 	return nil
 }
 
-// noteBad logs each bad entry once. w.mu is held.
-func (w *Watcher) noteBad(entries []BadEntry) {
+// logBadEntries logs each revision of a bad entry once. w.mu is held.
+func (w *Watcher) logBadEntries(entries []BadEntry) {
 	bad := make(map[string]uint64, len(entries))
 	for _, e := range entries {
 		bad[e.Key] = e.Revision
-		if w.bad[e.Key] != e.Revision {
+		if w.badRevisions[e.Key] != e.Revision {
 			w.log.Write(event.ReplicaUnreadable, event.F("key", e.Key), event.F("revision", e.Revision), event.F("error", e.Err))
 		}
 	}
-	w.bad = bad
+	w.badRevisions = bad
 }
 
-// notifyRead wakes the waiters for a read. w.mu is held.
+// notifyRead wakes the goroutines that wait for a read. w.mu is held.
 func (w *Watcher) notifyRead() {
 	w.turns.ObserveSuccess(w.holder.Current().LastReadAt)
-	close(w.read)
-	w.read = make(chan struct{})
+	close(w.readDone)
+	w.readDone = make(chan struct{})
 }
 
-// handleChanges passes changes of the directory to the balancer and the log. w.mu is held.
+// handleChanges passes changes of the directory to the balancer and the log. w.mu is
+// held.
 func (w *Watcher) handleChanges(changes []directory.Change) {
 	if len(changes) == 0 {
 		return
 	}
 	w.balancer.SetReplicas(w.directory.List(), w.directory.ReadTime())
-	w.mark, w.plainMark = w.directory.Hash(directory.HashWithStarts), w.directory.Hash(directory.HashPlain)
+	w.listHash, w.plainHash = w.directory.Hash(directory.HashWithStarts), w.directory.Hash(directory.HashPlain)
 	w.notifyUpdate()
 	for _, c := range changes {
 		switch c.Kind {
 		case directory.Restarted:
-			// Routers that receive the list see it by the start in the replica's entry.
+			// Routers that receive the list detect the restart by the start time in the
+			// replica's entry.
 			w.balancer.ReplicaRestarted(c.Replica.ID, c.Replica.Born == 0, steady.Now())
 		case directory.Left:
 			w.balancer.ReplicaRemoved(c.Replica.ID)
@@ -67,7 +70,7 @@
 	}
 }
 
-// centreEvent is the event of a change of a data centre.
+// centreEvent returns the event for a change of a data centre.
 func centreEvent(what directory.ChangeKind) event.ID {
 	if what == directory.Evacuated {
 		return event.CentreEvacuated
@@ -85,9 +88,9 @@
 		w.holder.ConfirmVersion(s.Config.Version, sent)
 		return
 	}
-	if w.life.rewound && held.Table != nil && s.Config.Version < held.Table.Version() {
-		// The operator has not written again what the copy lacks. Nothing newer is there,
-		// and what is held is never taken back.
+	if w.sourceState.rewound && held.Table != nil && s.Config.Version < held.Table.Version() {
+		// The operator has not yet rewritten what the restored source lacks. The source
+		// has nothing newer, and a known configuration is never rolled back.
 		w.holder.ConfirmVersion(held.Table.Version(), sent)
 		return
 	}
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -8,57 +8,60 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-// Knowledge is what one router can pass on to another.
+// Knowledge is what one router passes on to another.
 type Knowledge struct {
 	Version uint64
-	// ListHash names the list of replicas by its content.
+	// ListHash is the hash of the list of replicas.
 	ListHash uint64
-	// Config is nil where the other has the same, and so are Listing and Excerpt, of
-	// which one is sent otherwise.
+	// Config is nil if the other router has the same version. Listing and Excerpt are
+	// both nil if its list is the same, and otherwise one of them is set.
 	Config  *route.Config
 	Listing *directory.Listing
-	// Excerpt is what the other's list lacks that has the mark From.
+	// Excerpt is the difference to the other router's list, whose hash is BaseHash.
 	Excerpt  *directory.Excerpt
 	BaseHash uint64
-	// ListRead is when the list was read last that Listing is, by this router's clock.
+	// ListRead is when the list in Listing was last read, by this router's clock.
 	ListRead time.Time
-	// Generation is the source's, and GenerationAge for how long it has been known: who
-	// learns of it long after has nothing to hold against it any more.
+	// Generation is the source's generation and GenerationAge how long it has been known:
+	// a router that learns of it long after has nothing left to hold against it.
 	Generation    uint64
 	GenerationAge time.Duration
-	// Facts are what is held against a copy that the source came back from; nil where
-	// nothing is, or the other holds the same.
+	// Facts override a list that the source restored from a copy. Facts is nil if none
+	// are held or the other router holds the same.
 	Facts *directory.Facts
 }
 
-// KnowledgeRequest is what a router has that asks another one for its knowledge.
+// KnowledgeRequest says what the requesting router already has.
 type KnowledgeRequest struct {
 	Version, ListHash uint64
-	// FactsHash names what it holds against a copy.
+	// FactsHash is the hash of the facts that the requester holds.
 	FactsHash uint32
-	// PartHashes are of the parts of its list; without them it takes the whole one.
+	// PartHashes are the hashes of the parts of its list. Without them it receives the
+	// whole list.
 	PartHashes []uint32
 }
 
-// KnowledgeRequest returns what is known, so that another router sends only what is not.
+// KnowledgeRequest returns what this router has, so that another router sends only what
+// it lacks.
 func (w *Watcher) KnowledgeRequest() KnowledgeRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	digest := w.digest()
 	have := KnowledgeRequest{Version: digest.Version, ListHash: digest.ListHash, FactsHash: digest.FactsHash}
-	if !w.whole && !w.directory.ReadTime().IsZero() {
+	if !w.needsWholeList && !w.directory.ReadTime().IsZero() {
 		have.PartHashes = w.directory.PartHashes(directory.HashWithStarts)
 	}
 	return have
 }
 
-// worthAsking is how much newer another router's proof must seem to be than the own
-// one to be asked for: proofs are renewed each second or so by one router, and what a
-// datagram was under way makes one seem newer than it is.
-const worthAsking = 150 * time.Millisecond
+// minProofLead is how much newer another router's proof must seem than this router's
+// before it is requested. One router renews proofs about every second, and the transit
+// time of a datagram makes a proof seem newer than it is.
+const minProofLead = 150 * time.Millisecond
 
-// Behind reports whether another router seems to know more, by its digest of what was the
-// newest at a time. It proves nothing: the digest may have been in transit for long.
+// Behind reports whether another router seems to know more, by its digest of the newest
+// state at the given time. This proves nothing, because the digest may have been in
+// transit for long.
 func (w *Watcher) Behind(d Digest, proven time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,26 +71,27 @@
 		return true
 	case w.isPastGeneration(d.Generation) || d.Version < held.Table.Version():
 		return false
-	case !w.isMark(d.ListHash):
+	case !w.matchesListHash(d.ListHash):
 		return proven.After(w.directory.ReadTime())
 	}
 	own := held.LastReadAt
 	if read := w.directory.ReadTime(); read.Before(own) {
 		own = read
 	}
-	return proven.Sub(own) >= worthAsking
+	return proven.Sub(own) >= minProofLead
 }
 
-// isNewer reports whether a digest's sender has something to apply whenever it was proven:
-// a newer version, a later generation of the source, or other facts against its copy. w.mu is held.
+// isNewer reports whether the digest's sender has something to apply regardless of when
+// it was proven: a newer version, a later generation of the source, or other facts about
+// its restore. w.mu is held.
 func (w *Watcher) isNewer(d Digest) bool {
 	own := w.digest()
-	facts := d.FactsHash != 0 && d.FactsHash != own.FactsHash && d.Generation >= own.Generation && w.takesFacts()
+	facts := d.FactsHash != 0 && d.FactsHash != own.FactsHash && d.Generation >= own.Generation && w.acceptsFacts()
 	return d.Version > own.Version || d.Generation > own.Generation || facts
 }
 
-// ApplyPeerProof applies another router's digest of what was the newest at a time, and
-// reports whether it has something newer to pass on.
+// ApplyPeerProof applies another router's digest of the newest state at the given time,
+// and reports whether that router has something newer to pass on.
 func (w *Watcher) ApplyPeerProof(d Digest, proven time.Time) (newer bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -98,11 +102,11 @@
 	if w.isPastGeneration(d.Generation) || d.Version < held.Table.Version() {
 		return false
 	}
-	if !w.isMark(d.ListHash) {
+	if !w.matchesListHash(d.ListHash) {
 		return proven.After(w.directory.ReadTime())
 	}
-	// A list that was read alone may be newer than the proof; the configuration is
-	// proven all the same.
+	// A list that was read separately may be newer than the proof, which still applies to
+	// the configuration.
 	w.handleChanges(w.directory.Confirm(proven))
 	if w.holder.ConfirmVersion(d.Version, proven) {
 		w.notifyRead()
@@ -110,8 +114,8 @@
 	return false
 }
 
-// ApplyKnowledge applies another router's knowledge, which was requested at one time and
-// the newest at another.
+// ApplyKnowledge applies another router's knowledge, which was requested at asked and was
+// the newest state at proven.
 func (w *Watcher) ApplyKnowledge(k Knowledge, asked, proven time.Time, from string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,12 +130,13 @@
 	switch {
 	case k.Listing != nil:
 		w.applyListing(*k.Listing, k.ListHash, proven)
-	case k.Excerpt != nil && k.BaseHash == w.mark:
+	case k.Excerpt != nil && k.BaseHash == w.listHash:
 		w.applyListing(w.directory.MergeExcerpt(*k.Excerpt), k.ListHash, proven)
-	case k.Excerpt == nil && w.isMark(k.ListHash):
+	case k.Excerpt == nil && w.matchesListHash(k.ListHash):
 		w.handleChanges(w.directory.Confirm(proven))
 	default:
-		// The list has changed here since it was asked for: this confirms neither.
+		// This router's list has changed since the request, so the knowledge confirms
+		// neither it nor the configuration.
 		return
 	}
 	w.holder.ConfirmVersion(k.Version, proven)
@@ -150,39 +155,38 @@
 	}
 }
 
-// applyListing applies another router's list, named by a mark. A list assembled from parts
-// whose mark differs is another one: the next is then requested whole.
-// w.mu is held.
+// applyListing applies another router's list with the given hash. If a list assembled
+// from parts has another hash, the next one is requested whole. w.mu is held.
 func (w *Watcher) applyListing(l directory.Listing, mark uint64, proven time.Time) {
 	w.handleChanges(w.directory.Apply(w.directory.FillStartTimes(l), proven))
-	w.whole = !w.isMark(mark)
+	w.needsWholeList = !w.matchesListHash(mark)
 }
 
-// isMark reports whether a mark names the list at hand, in the form of this build or of an
-// older one. w.mu is held.
-func (w *Watcher) isMark(mark uint64) bool { return mark == w.mark || mark == w.plainMark }
+// matchesListHash reports whether a hash is that of the current list, in the format of
+// this build or of an older one. w.mu is held.
+func (w *Watcher) matchesListHash(mark uint64) bool { return mark == w.listHash || mark == w.plainHash }
 
-// UsesPlainHash reports whether a router that names a list by a mark is of a build that
-// knows no starts; known is false where the mark does not show it.
+// UsesPlainHash reports whether a router that sends the given hash of the list is of a
+// build without start times. known is false if the hash does not show it.
 func (w *Watcher) UsesPlainHash(mark uint64) (plain, known bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return mark == w.plainMark, w.mark != w.plainMark && w.isMark(mark)
+	return mark == w.plainHash, w.listHash != w.plainHash && w.matchesListHash(mark)
 }
 
-// PlainHash returns the mark of the list as older builds have it.
+// PlainHash returns the hash of the list in the format of older builds.
 func (w *Watcher) PlainHash() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.plainMark
+	return w.plainHash
 }
 
-// formOf returns in which form who has something names its list. w.mu is held.
-func (w *Watcher) formOf(have KnowledgeRequest) directory.HashFormat {
+// hashFormatOf returns the hash format that the sender of a request uses. w.mu is held.
+func (w *Watcher) hashFormatOf(have KnowledgeRequest) directory.HashFormat {
 	switch {
-	case have.ListHash == w.mark:
+	case have.ListHash == w.listHash:
 		return directory.HashWithStarts
-	case have.ListHash == w.plainMark:
+	case have.ListHash == w.plainHash:
 		return directory.HashPlain
 	case len(have.PartHashes) > 0:
 		return w.directory.DetectHashFormat(have.PartHashes)
@@ -190,19 +194,20 @@
 	return directory.HashWithStarts
 }
 
-// mostParts is up to which part of a list an excerpt is sent: beyond, the whole list is
-// about as long, and is packed once for all who request it.
-const mostParts = 0.5
+// maxExcerptFraction is the largest fraction of a list's parts that an excerpt may hold.
+// Beyond it the whole list is about as long, and is encoded once for all routers that
+// request it.
+const maxExcerptFraction = 0.5
 
-// Knowledge returns what is known and another router has not, with the age of its
+// Knowledge returns what this router knows and the requester lacks, with the age of its
 // proof.
 func (w *Watcher) Knowledge(have KnowledgeRequest, now time.Time) (Knowledge, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	state := w.holder.Current()
-	k := Knowledge{Version: state.Table.Version(), ListHash: w.mark, BaseHash: have.ListHash, ListRead: w.directory.ReadTime(), Generation: w.life.generation}
+	k := Knowledge{Version: state.Table.Version(), ListHash: w.listHash, BaseHash: have.ListHash, ListRead: w.directory.ReadTime(), Generation: w.sourceState.generation}
 	if k.Generation != 0 {
-		k.GenerationAge = now.Sub(w.life.since)
+		k.GenerationAge = now.Sub(w.sourceState.knownSince)
 	}
 	if facts, held := w.directory.Facts(now); held && w.directory.FactsHash(now) != have.FactsHash {
 		k.Facts = &facts
@@ -211,16 +216,16 @@
 		config := state.Table.Config()
 		k.Config = &config
 	}
-	form := w.formOf(have)
+	form := w.hashFormatOf(have)
 	if form == directory.HashPlain {
-		k.ListHash = w.plainMark
+		k.ListHash = w.plainHash
 	}
 	if k.ListHash == have.ListHash {
 		return k, w.age(now)
 	}
 	if len(have.PartHashes) > 0 {
 		excerpt := w.directory.Excerpt(form, have.PartHashes)
-		if len(excerpt.DifferingParts) <= int(mostParts*float64(excerpt.PartCount)) {
+		if len(excerpt.DifferingParts) <= int(maxExcerptFraction*float64(excerpt.PartCount)) {
 			k.Excerpt = &excerpt
 			return k, w.age(now)
 		}
--- a/internal/watch/list.go
+++ b/internal/watch/list.go
@@ -10,18 +10,18 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// ErrNotRefreshed: the list of replicas could not be read.
-var ErrNotRefreshed = errors.New("follow: list not renewed")
+// ErrNotRefreshed means that the list of replicas could not be read.
+var ErrNotRefreshed = errors.New("watch: list of replicas not refreshed")
 
-// ListAge returns how old the list of replicas is.
+// ListAge returns the age of the list of replicas.
 func (w *Watcher) ListAge(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return now.Sub(w.directory.ReadTime())
 }
 
-// Unconfirmed returns for how long a replica has been missing from a list that may be
-// incomplete; false if it is listed or removed.
+// Unconfirmed returns how long a replica has been missing from a list that may be
+// incomplete, or false if it is listed or removed.
 func (w *Watcher) Unconfirmed(id string, now time.Time) (age time.Duration, unconfirmed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -29,20 +29,21 @@
 	return now.Sub(since), !since.IsZero()
 }
 
-// Statements returns what replicas said of themselves.
+// Statements returns what replicas said about themselves.
 func (w *Watcher) Statements() *directory.Statements { return w.directory.Statements() }
 
-// MarkDraining records that a replica closed its connection, as one that leaves does.
+// MarkDraining records that a replica closed its connection, as a replica that shuts down
+// does.
 func (w *Watcher) MarkDraining(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.handleChanges(w.directory.RemoveUnconfirmed(id))
 }
 
-// RefreshList returns once the list of replicas is newer than a time, or with an error
-// when ctx ends or the source does not answer. All who wait share one read, of the
-// replicas and evacuations only: a large configuration takes longer over a narrow link than a request
-// can wait.
+// RefreshList returns once the list of replicas is newer than since, or with an error
+// when ctx ends or the source does not answer. All callers share one read of only the
+// replicas and evacuations, because a large configuration takes longer over a slow link
+// than a request can wait.
 func (w *Watcher) RefreshList(ctx context.Context, since time.Time) error {
 	wait := w.turns.Wait(w.place(), steady.Now())
 	w.mu.Lock()
@@ -52,7 +53,7 @@
 	}
 	if w.refreshing == nil {
 		if wait > 0 {
-			// While the source is down requests must not each wait for it.
+			// While the source is down, requests must not each wait for it.
 			w.mu.Unlock()
 			return ErrNotRefreshed
 		}
@@ -60,10 +61,10 @@
 		go w.refreshList()
 	}
 	renewing := w.refreshing
-	began := w.outage.began[listRead]
+	began := w.outage.pendingSince[listRead]
 	w.mu.Unlock()
-	if !began.IsZero() && steady.Since(began) >= silentAfter {
-		// Those that came before have waited for this read in vain.
+	if !began.IsZero() && steady.Since(began) >= unansweredAfter {
+		// Earlier callers have waited for this read in vain.
 		return ErrNotRefreshed
 	}
 	select {
@@ -84,17 +85,17 @@
 	ctx, cancel := context.WithTimeout(context.Background(), w.options.Load().Timeout)
 	defer cancel()
 	sent := steady.Now()
-	w.began(listRead, sent)
+	w.noteReadStart(listRead, sent)
 	snapshot, err := (*w.source.Load()).Replicas(ctx)
 	w.reads.Add(1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ended(listRead, err, sent)
+	w.noteReadEnd(listRead, err, sent)
 	if err != nil {
-		w.failed.Add(1)
+		w.failedReads.Add(1)
 	} else if w.acceptGeneration(&snapshot, sent) == nil {
 		w.handleChanges(w.directory.Apply(snapshot.listing(), sent))
-		w.noteBad(snapshot.BadReplicas)
+		w.logBadEntries(snapshot.BadReplicas)
 	}
 	close(w.refreshing)
 	w.refreshing = nil
--- a/internal/watch/outage.go
+++ b/internal/watch/outage.go
@@ -10,53 +10,54 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// silentAfter is how long a read may go unanswered before it counts as one that
-// failed: longer than a list of some hundred replicas takes over a narrow link.
-const silentAfter = 200 * time.Millisecond
-
-// peerProofPart of the greatest age of the list is how long ago another router may have
-// been asked for its answer to count: longer than a gossip round of a large fleet, so that
-// it counts from one to the next, and shorter than the time after which a store that is
-// back binds again.
-const peerProofPart = 2
-
-// outage is what tells a source that answers nobody from a router whose reads are
-// late. It is guarded by Watcher.mu.
+// unansweredAfter is how long a read may go unanswered before it counts as failed. It
+// exceeds the time that a list of several hundred replicas takes over a slow link.
+const unansweredAfter = 200 * time.Millisecond
+
+// peerProofDivisor divides the maximum age of the list into how long ago another router
+// may have been asked for its answer to count. That is longer than a gossip round of a
+// large fleet, so that an answer counts until the next round, and shorter than the time
+// after which a recovered store is relied upon again.
+const peerProofDivisor = 2
+
+// outage distinguishes a source that answers no router from late reads of this router. It
+// is guarded by Watcher.mu.
 type outage struct {
-	// late: the last failed read timed out, so the network may be to blame.
-	late bool
-	// began is when the reads under way were sent, by kind; zero: none is.
-	began [readKinds]time.Time
-	// asked is when another router was asked that answered, the latest of all, and
-	// proven the newest proof that any had.
-	asked, proven time.Time
-	// seen is when the source was last found to answer nobody.
-	seen time.Time
+	// timedOut reports that the last failed read timed out, so the network may be the
+	// cause.
+	timedOut bool
+	// pendingSince is when the reads in progress were sent, by kind; zero means none is.
+	pendingSince [readKinds]time.Time
+	// peerAsked is when the latest request was sent that another router answered, and
+	// peerProven the newest proof that any router had.
+	peerAsked, peerProven time.Time
+	// lastUnavailable is when the source was last found to answer no router.
+	lastUnavailable time.Time
 }
 
-// readKind names the reads that may be under way beside each other.
+// readKind distinguishes reads that may run concurrently.
 type readKind int
 
 // The kinds of reads.
 const (
-	wholeRead readKind = iota
+	fullRead readKind = iota
 	listRead
 	readKinds
 )
 
-// begin notes that a read was sent.
-func (o *outage) begin(kind readKind, now time.Time) { o.began[kind] = now }
+// begin records that a read was sent.
+func (o *outage) begin(kind readKind, now time.Time) { o.pendingSince[kind] = now }
 
-// end notes how a read ended.
+// end records how a read ended.
 func (o *outage) end(kind readKind, err error) {
-	o.began[kind] = time.Time{}
+	o.pendingSince[kind] = time.Time{}
 	if err != nil {
-		o.late = errors.Is(err, context.DeadlineExceeded)
+		o.timedOut = errors.Is(err, context.DeadlineExceeded)
 	}
 }
 
-// ended notes how a read ended that was sent at a time. w.mu is held.
-func (w *Watcher) ended(kind readKind, err error, sent time.Time) {
+// noteReadEnd records the result of a read that was sent at the given time. w.mu is held.
+func (w *Watcher) noteReadEnd(kind readKind, err error, sent time.Time) {
 	w.outage.end(kind, err)
 	if err != nil {
 		w.turns.ObserveFailure(steady.Now())
@@ -65,50 +66,50 @@
 	w.turns.ObserveSuccess(sent)
 }
 
-// LastFailure returns how long ago a read failed last, here or elsewhere, that is newer than
-// any with an answer; false if none is. Gossip carries it to other routers.
+// LastFailure returns the age of the last failed read, by this router or another, that is
+// newer than any answered read, or false if there is none. Gossip carries it to other
+// routers.
 func (w *Watcher) LastFailure(now time.Time) (age time.Duration, failed bool) {
 	last := w.turns.LastFailure()
 	return now.Sub(last), !last.IsZero()
 }
 
-// ObservePeerFailure records that a read of another router failed at a time.
+// ObservePeerFailure records that a read of another router failed at the given time.
 func (w *Watcher) ObservePeerFailure(at time.Time) { w.turns.ObservePeerFailure(at) }
 
-// unanswered reports whether a read failed since a time or has no answer by now, and
-// whether it is only known to be late. A failure of this router's counts for as long as
-// those of others that try in its place follow it.
-// w.mu is held.
+// unanswered reports whether a read failed after since or has no answer yet, and whether
+// it is only known to be late. A failure of this router counts for as long as failures of
+// other routers, which try in its place, follow it. w.mu is held.
 func (w *Watcher) unanswered(since, now time.Time) (unanswered, late bool) {
 	if w.turns.SourceLost() && w.turns.LastFailure().After(since) {
-		return true, w.outage.late
+		return true, w.outage.timedOut
 	}
-	for _, began := range w.outage.began {
-		if !began.IsZero() && now.Sub(began) >= silentAfter {
+	for _, began := range w.outage.pendingSince {
+		if !began.IsZero() && now.Sub(began) >= unansweredAfter {
 			return true, true
 		}
 	}
 	return false, false
 }
 
-// ObservePeerProof records another router's answer to a request sent at a time: that its
-// knowledge was the newest at another, whether or not that can be applied.
+// ObservePeerProof records another router's answer to a request sent at asked: its
+// knowledge was the newest at proven, whether or not it can be applied.
 func (w *Watcher) ObservePeerProof(asked, proven time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.turns.ObservePeer(asked)
-	if asked.After(w.outage.asked) {
-		w.outage.asked = asked
+	if asked.After(w.outage.peerAsked) {
+		w.outage.peerAsked = asked
 	}
-	if proven.After(w.outage.proven) {
-		w.outage.proven = proven
+	if proven.After(w.outage.peerProven) {
+		w.outage.peerProven = proven
 	}
 }
 
-// StoreUnavailable reports whether the source answers nobody, as far as can be known here:
-// this router's read has no answer, and another router that was asked recently has nothing
-// newer than limit either. Without that a late read may be this router's own fault. A
-// router that knows no other trusts a plain failure.
+// StoreUnavailable reports whether, as far as this router can know, the source answers no
+// router: this router's read has no answer, and another router that was asked recently
+// has no proof within limit either. Without that, a late read may be this router's own
+// fault. A router that knows no other router trusts a plain failure.
 func (w *Watcher) StoreUnavailable(limit time.Duration, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -120,53 +121,53 @@
 	o := &w.outage
 	since := now.Add(-limit)
 	unanswered, late := w.unanswered(since, now)
-	if !unanswered || o.proven.After(since) {
+	if !unanswered || o.peerProven.After(since) {
 		return false
 	}
-	silent := o.asked.After(now.Add(-limit / peerProofPart))
-	if o.asked.IsZero() {
+	silent := o.peerAsked.After(now.Add(-limit / peerProofDivisor))
+	if o.peerAsked.IsZero() {
 		silent = !late
 	}
 	if silent {
-		o.seen = now
+		o.lastUnavailable = now
 	}
 	return silent
 }
 
-// NotListedSince returns the replicas that no list read since a time names, without unconfirmed
-// ones of an outage that was seen here.
+// NotListedSince returns the replicas that no list read since the given time names,
+// without those that are unconfirmed after an outage that this router noticed.
 func (w *Watcher) NotListedSince(since time.Time) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.directory.NotListedSince(since, w.outage.seen)
+	return w.directory.NotListedSince(since, w.outage.lastUnavailable)
 }
 
-// Exclusions returns those of a service's replicas that are listed as ready and get no new
-// requests, by a greatest age of the list.
+// Exclusions returns the replicas of a service that are listed as ready but receive no
+// new requests, with limit as the maximum age of the list.
 func (w *Watcher) Exclusions(service string, limit time.Duration, now time.Time) []directory.Exclusion {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.directory.Exclusions(service, w.conditions(limit, now))
 }
 
-// Exclusion tells whether a replica gets no new requests, and why.
+// Exclusion reports whether a replica receives no new requests, and why.
 func (w *Watcher) Exclusion(id string, limit time.Duration, now time.Time) (directory.Exclusion, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.directory.Exclusion(id, w.conditions(limit, now))
 }
 
-// conditions are those of now. w.mu is held.
+// conditions returns the conditions for eligibility at now. w.mu is held.
 func (w *Watcher) conditions(limit time.Duration, now time.Time) directory.Conditions {
 	return directory.Conditions{
 		Now:              now,
 		MaxListAge:       limit,
 		StoreUnavailable: sync.OnceValue(func() bool { return w.storeUnavailable(limit, now) }),
-		LastUnavailable:  w.outage.seen,
+		LastUnavailable:  w.outage.lastUnavailable,
 	}
 }
 
-// Ready reports whether a replica may have new work by the list at hand.
+// Ready reports whether a replica may receive new requests according to the current list.
 func (w *Watcher) Ready(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/watch/outage_test.go
+++ b/internal/watch/outage_test.go
@@ -57,7 +57,7 @@
 		synctest.Wait()
 		f.ObservePeerProof(time.Now(), time.Now().Add(-time.Minute))
 		assert.False(t, f.StoreUnavailable(testLimit, time.Now()))
-		time.Sleep(silentAfter)
+		time.Sleep(unansweredAfter)
 		assert.True(t, f.StoreUnavailable(testLimit, time.Now()))
 		begun := time.Now()
 		require.ErrorIs(t, f.RefreshList(t.Context(), time.Now()), ErrNotRefreshed)
--- a/internal/watch/read.go
+++ b/internal/watch/read.go
@@ -10,8 +10,9 @@
 	"github.com/croftyard/croftyard/pkg/turns"
 )
 
-// Run reads until ctx ends: as soon as the newest proof, own or of a peer, is older than
-// readAfter, or sooner on request; in turns while the source answers nobody.
+// Run reads until ctx ends: when the newest proof, this router's or a peer's, is older
+// than readAfter, or sooner on request. While the source answers no router, routers take
+// turns.
 func (w *Watcher) Run(ctx context.Context) {
 	timer := time.NewTimer(w.options.Load().FirstRead)
 	defer timer.Stop()
@@ -29,19 +30,20 @@
 			rest = max(rest, w.readAfter()-w.Age(steady.Now()))
 		}
 		if rest <= 0 {
-			// How it ended is noted; the rest follows from that.
+			// readOnce records its result, from which the next wait follows.
 			_ = w.readOnce(ctx)
 			rest = w.readAfter()
 			if wait := w.turns.Wait(w.place(), steady.Now()); wait > 0 {
 				rest = wait
 			}
 		}
-		// Who was heard until now may be heard no more.
+		// Peers that were heard until now may fall silent.
 		timer.Reset(min(rest, w.options.Load().Period))
 	}
 }
 
-// TriggerRead has the source read at once, unless it is known to answer nobody.
+// TriggerRead makes Run read the source at once, unless the source is known to answer no
+// router.
 func (w *Watcher) TriggerRead() {
 	select {
 	case w.wake <- struct{}{}:
@@ -49,8 +51,9 @@
 	}
 }
 
-// place is this router's among those that read for each other. Who tells asks what is known
-// under its own lock, so w.mu is not held here.
+// place returns this router's place among the routers that read for each other. w.mu must
+// not be held, because Options.Place takes a lock that is also held during calls of the
+// Watcher.
 func (w *Watcher) place() turns.Place {
 	if place := w.options.Load().Place; place != nil {
 		return place()
@@ -58,7 +61,7 @@
 	return turns.Place{Routers: 1}
 }
 
-// readAfter is how old the proof may get before this router reads.
+// readAfter returns how old the proof may become before this router reads.
 func (w *Watcher) readAfter() time.Duration {
 	return w.turns.ReadAfter(w.place(), steady.Now())
 }
@@ -67,32 +70,32 @@
 	ctx, cancel := context.WithTimeout(ctx, w.options.Load().Timeout)
 	defer cancel()
 	sent := steady.Now()
-	w.began(wholeRead, sent)
+	w.noteReadStart(fullRead, sent)
 	snapshot, err := (*w.source.Load()).Read(ctx)
 	w.reads.Add(1)
 	if err != nil {
-		w.failed.Add(1)
+		w.failedReads.Add(1)
 	}
-	w.noteSource(err, sent)
+	w.logSourceState(err, sent)
 	if err != nil {
 		return err
 	}
 	return w.ApplySnapshot(snapshot, sent)
 }
 
-// began notes that a read was sent.
-func (w *Watcher) began(kind readKind, sent time.Time) {
+// noteReadStart records that a read was sent.
+func (w *Watcher) noteReadStart(kind readKind, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outage.begin(kind, sent)
 }
 
-// noteSource logs when the source stopped answering and when it answers again.
-func (w *Watcher) noteSource(err error, sent time.Time) {
+// logSourceState logs when the source stops answering and when it answers again.
+func (w *Watcher) logSourceState(err error, sent time.Time) {
 	w.mu.Lock()
-	was := w.lost
-	w.lost = err != nil
-	w.ended(wholeRead, err, sent)
+	was := w.sourceDown
+	w.sourceDown = err != nil
+	w.noteReadEnd(fullRead, err, sent)
 	w.mu.Unlock()
 	switch {
 	case err != nil && !was:
@@ -102,15 +105,15 @@
 	}
 }
 
-// WaitFresh returns once the configuration is proven newer than a time, or with an error
-// when ctx ends, or at once if a read would prove nothing now.
+// WaitFresh returns once the configuration is proven as of since or later, with an error
+// when ctx ends, or at once with ErrUnproven if a read would prove nothing now.
 func (w *Watcher) WaitFresh(ctx context.Context, since time.Time) error {
 	for {
 		if w.holder.DistrustsRead(steady.Now()) && w.holder.Current().ProvenAt.Before(since) {
 			return ErrUnproven
 		}
 		w.mu.Lock()
-		read := w.read
+		read := w.readDone
 		w.mu.Unlock()
 		if !w.holder.Current().ProvenAt.Before(since) {
 			return nil
@@ -119,7 +122,7 @@
 		select {
 		case <-read:
 		case <-ctx.Done():
-			return fmt.Errorf("follow: no proof: %w", ctx.Err())
+			return fmt.Errorf("watch: configuration not proven in time: %w", ctx.Err())
 		}
 	}
 }
--- a/internal/watch/updates.go
+++ b/internal/watch/updates.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// notifyUpdate wakes the waiters for a change. w.mu is held.
+// notifyUpdate wakes the goroutines that wait for a change. w.mu is held.
 func (w *Watcher) notifyUpdate() {
 	close(w.updates)
 	w.updates = make(chan struct{})
 }
 
-// Updates returns a channel that is closed with the next change of the configuration or
-// of the list of replicas, and whether one may come at any moment: there is no list
-// yet, or one is being read since that at hand is old.
+// Updates returns a channel that is closed at the next change of the configuration or of
+// the list of replicas. expected reports whether a change may come at any moment: there
+// is no list yet, or one is being read because the current one is old.
 func (w *Watcher) Updates() (next <-chan struct{}, expected bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.updates, w.directory.ReadTime().IsZero() || w.refreshing != nil
 }
 
-// NextRead returns how long it is until this router would read the source itself.
+// NextRead returns how long it is until this router reads the source itself.
 func (w *Watcher) NextRead(now time.Time) time.Duration {
 	return max(w.readAfter()-w.Age(now), 0)
 }
--- a/pkg/directory/listing.go
+++ b/pkg/directory/listing.go
@@ -42,8 +42,8 @@
 	return Listing{Replicas: d.Listed(), Evacuated: slices.Clone(d.evacuated)}
 }
 
-// Hash returns an order-independent hash of the list's content in a format. It is updated
-// at each change, and sorting and encoding a long list would take longer than applying
+// Hash returns an order-independent hash of the list's content in a format. It is
+// computed at each change, and sorting and encoding a long list would take longer than
 // the change.
 func (d *Directory) Hash(f HashFormat) uint64 {
 	var replicas uint64
--- a/pkg/directory/restart.go
+++ b/pkg/directory/restart.go
@@ -28,8 +28,8 @@
 }
 
 // restarted reports whether a replica restarted between two of its entries: its start
-// times differ or, without start times, its sequence number started over. A list restored
-// from a copy shows an earlier sequence number.
+// times differ or, without start times, its sequence number started over. An earlier
+// sequence number in a list restored from a copy is no restart.
 func (d *Directory) restarted(r, old *Replica) bool {
 	if r.Born != 0 && old.Born != 0 {
 		return r.Born != old.Born
