--- a/pkg/directory/bench_test.go
+++ b/pkg/directory/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkExclusions asks what a request asks: which replicas are excluded, and whether
-// the chosen one is before it is written.
+// BenchmarkExclusions makes the calls of one request: which replicas are excluded, and
+// whether the chosen one is before bytes are written to it.
 func BenchmarkExclusions(b *testing.B) {
 	for _, binding := range []int{0, 10, 1000} {
 		b.Run(fmt.Sprintf("%d of 7600", binding), func(b *testing.B) {
--- a/pkg/directory/confirm_test.go
+++ b/pkg/directory/confirm_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What a router hears most often is that nothing has changed.
-func TestAConfirmedListIsAsOneThatWasReadAgain(t *testing.T) {
+// Confirm is the most frequent update of a router and must have the same result as
+// reading an unchanged list.
+func TestConfirmEqualsReadingTheSameList(t *testing.T) {
 	cold := ready("a", "b", "c")
 	cold[1].Cold, cold[1].ColdLeft, cold[1].Entry = true, 20*time.Second, 7
 	cold[2].State = Draining
@@ -41,7 +42,7 @@
 	}
 }
 
-func TestAConfirmedListEndsDoubt(t *testing.T) {
+func TestConfirmRemovesUnconfirmedAfterGrace(t *testing.T) {
 	d := New(3*time.Second, 2*time.Second)
 	d.Replace(ready("a", "b"), at(0))
 	d.Replace(nil, at(10))
@@ -49,7 +50,7 @@
 	assert.Equal(t, map[string]ChangeKind{"a": Left, "b": Left}, changes(d.Confirm(at(12.5))))
 }
 
-// BenchmarkConfirm is what it costs to hear that nothing has changed.
+// BenchmarkConfirm measures a confirmation that nothing has changed.
 func BenchmarkConfirm(b *testing.B) {
 	for _, replicas := range []int{240, 1520, 7600} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -37,24 +37,24 @@
 	assert.Equal(t, map[string]ChangeKind{"b": DrainStarted}, changes(d.Replace(draining, at(1))))
 	assert.Empty(t, d.Replace(draining, at(2)))
 	assert.Equal(t, map[string]ChangeKind{"b": Left}, changes(d.Replace(ready("a"), at(3))))
-	assert.Empty(t, d.Replace(ready("a", "b"), at(2)), "an older read says nothing")
+	assert.Empty(t, d.Replace(ready("a", "b"), at(2)), "an older read is ignored")
 	assert.Len(t, d.List(), 1)
 }
 
-func TestReplicasThatVanishInAnOutageKeepTheirWorkForAWhile(t *testing.T) {
+func TestReplicasMissingAfterAnOutageStayUnconfirmed(t *testing.T) {
 	d := New(3*time.Second, 2*time.Second)
 	d.Replace(ready("a", "b"), at(0))
 	assert.Equal(t, map[string]ChangeKind{"a": Unconfirmed, "b": Unconfirmed}, changes(d.Replace(nil, at(10))))
 	assert.Len(t, d.List(), 2)
-	assert.Empty(t, d.Listed(), "what is doubted is not passed on")
+	assert.Empty(t, d.Listed(), "unconfirmed replicas are not passed on")
 	empty := d.Hash(HashWithStarts)
-	assert.Equal(t, map[string]ChangeKind{"a": ListedAgain}, changes(d.Replace(ready("a"), at(11))), "a change, since it changes the mark")
+	assert.Equal(t, map[string]ChangeKind{"a": ListedAgain}, changes(d.Replace(ready("a"), at(11))), "it is a change, because the hash changes")
 	assert.NotEqual(t, empty, d.Hash(HashWithStarts))
 	assert.Equal(t, map[string]ChangeKind{"b": Left}, changes(d.Replace(ready("a"), at(12.5))))
 	assert.Equal(t, map[string]ChangeKind{"a": Left}, changes(d.Replace(nil, at(13))), "the outage is over")
 }
 
-func TestAnAddressThatAnotherReplicaHasIsNotDoubtedButGone(t *testing.T) {
+func TestMissingReplicaWithReusedAddressIsRemoved(t *testing.T) {
 	d := New(3*time.Second, 2*time.Second)
 	d.Replace(ready("a"), at(0))
 	other := Replica{ID: "new", Service: "t", Address: "a:1"}
@@ -70,7 +70,7 @@
 	assert.Equal(t, map[string]ChangeKind{"a": Left}, changes(d.Replace(nil, at(6))), "there was no outage")
 }
 
-func TestMarkNamesTheContent(t *testing.T) {
+func TestHashDependsOnContentOnly(t *testing.T) {
 	one, two := New(0, 0), New(0, 0)
 	one.Replace(ready("a", "b"), at(0))
 	two.Replace(ready("b", "a"), at(5))
@@ -79,8 +79,9 @@
 	assert.NotEqual(t, one.Hash(HashWithStarts), two.Hash(HashWithStarts))
 }
 
-// Hunt, hrs-croftyard, mix, seed 1096346806942 (finding 2).
-func TestAServiceThatVanishesAtOnceIsDoubtedWithoutAnOutage(t *testing.T) {
+// An outage of the list can be too short to be noticed between two reads. If most entries
+// of a service expire in it, their replicas must keep receiving requests.
+func TestMostOfAServiceMissingIsUnconfirmedWithoutAnOutage(t *testing.T) {
 	d := New(3*time.Second, 2*time.Second)
 	d.Replace(ready("a", "b", "c", "d", "e"), at(0))
 	assert.Equal(t, map[string]ChangeKind{"a": Left, "b": Left}, changes(d.Replace(ready("c", "d", "e"), at(1))), "two of five may leave")
@@ -89,10 +90,10 @@
 	assert.Equal(t, map[string]ChangeKind{"d": Left}, changes(d.Replace(ready("c", "e"), at(4))))
 }
 
-// A router whose reads came late took replicas that had drained and left meanwhile for
-// victims of an outage, and sent them work for two heartbeats more: DRAIN on a grown
-// site.
-func TestAFewThatAreGoneAfterAPauseHaveLeft(t *testing.T) {
+// Guards against sending requests to replicas that drained and left while this router's
+// reads were late. Treated as victims of an outage, they received work for two more
+// heartbeats.
+func TestFewMissingReplicasAfterAPauseAreRemoved(t *testing.T) {
 	d := New(3*time.Second, 2*time.Second)
 	ids := []string{"a", "b", "c", "d", "e", "f", "g"}
 	d.Replace(ready(ids...), at(0))
@@ -103,26 +104,26 @@
 	assert.Equal(t, map[string]ChangeKind{"a": Unconfirmed}, changes(alone.Replace(nil, at(10))), "all there were")
 }
 
-// Whether a replica may have said long ago that it leaves goes by when it was listed
-// itself, not by when the list was read.
-func TestUnlistedGoesByWhenEachReplicaWasListedLast(t *testing.T) {
+// Whether a replica may have announced its shutdown long ago depends on when it was last
+// listed itself, not on when the list was read.
+func TestNotListedSinceUsesEachReplicasLastListing(t *testing.T) {
 	d := New(10*time.Second, 10*time.Second)
 	d.Replace(ready("a", "b", "c"), at(0))
 	d.Replace(ready("a"), at(1))
-	assert.Len(t, d.List(), 3, "two vanished at once and are doubted")
+	assert.Len(t, d.List(), 3, "two of three are missing at once and unconfirmed")
 	assert.Empty(t, d.NotListedSince(at(0), time.Time{}))
 	assert.ElementsMatch(t, []string{"b", "c"}, d.NotListedSince(at(0.5), time.Time{}))
-	assert.ElementsMatch(t, []string{"b", "c"}, d.NotListedSince(at(0.5), at(-1)), "an outage before says nothing")
-	assert.Empty(t, d.NotListedSince(at(0.5), at(0.5)), "the list was lost after they were listed")
-	assert.Empty(t, d.NotListedSince(at(0.9), at(0.5)), "the read without them is young enough")
-	assert.ElementsMatch(t, []string{"a", "b", "c"}, d.NotListedSince(at(1.5), at(1.2)), "neither a listed one nor so old a doubt is excused")
+	assert.ElementsMatch(t, []string{"b", "c"}, d.NotListedSince(at(0.5), at(-1)), "an outage before the last listing has no effect")
+	assert.Empty(t, d.NotListedSince(at(0.5), at(0.5)), "the list was unavailable after they were listed")
+	assert.Empty(t, d.NotListedSince(at(0.9), at(0.5)), "the first read without them is recent enough")
+	assert.ElementsMatch(t, []string{"a", "b", "c"}, d.NotListedSince(at(1.5), at(1.2)), "neither a listed replica nor one unconfirmed for so long is left out")
 	d.Replace(ready("a", "b", "c"), at(2))
 	assert.Empty(t, d.NotListedSince(at(2), time.Time{}))
 }
 
-// A replica's own sign that it leaves counts for one that no list names; what is listed is
-// believed as listed.
-func TestAReplicaInDoubtIsGoneByItsOwnSign(t *testing.T) {
+// A closed connection removes a replica that no list names. For a listed replica the list
+// decides.
+func TestRemoveUnconfirmedOnClosedConnection(t *testing.T) {
 	d := New(10*time.Second, 10*time.Second)
 	d.Replace(ready("a", "b", "c"), at(0))
 	d.Replace(ready("a"), at(1))
@@ -134,5 +135,5 @@
 	assert.Empty(t, d.RemoveUnconfirmed("b"))
 	assert.Equal(t, []bool{true, false, true}, []bool{d.Ready("a"), d.Ready("b"), d.Ready("c")})
 	d.Replace(ready("a", "b"), at(2))
-	assert.True(t, d.Ready("b"), "listed again, it had closed for another reason")
+	assert.True(t, d.Ready("b"), "listed again, so it closed its connection for another reason")
 }
--- a/pkg/directory/parts_test.go
+++ b/pkg/directory/parts_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// manyReplicas returns a list as engines of five data centres are listed.
+// manyReplicas returns n replicas spread over five data centres.
 func manyReplicas(n int) []Replica {
 	list := make([]Replica, n)
 	for i := range list {
@@ -19,9 +19,8 @@
 	return list
 }
 
-// changeSome returns a list with some entries gone, some draining, some turned cold
-// and some more.
-func changeSome(list []Replica, changes int, random *rand.Rand) []Replica {
+// changeRandomly returns a list with random entries removed, draining, cold or added.
+func changeRandomly(list []Replica, changes int, random *rand.Rand) []Replica {
 	out := append([]Replica(nil), list...)
 	for i := range changes {
 		if len(out) == 0 {
@@ -42,14 +41,14 @@
 	return out
 }
 
-func TestAnExcerptMakesOneListOfAnother(t *testing.T) {
+func TestMergedExcerptReproducesTheList(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, size := range []int{0, 1, 30, 240, 3000} {
 		for _, changes := range []int{0, 1, 10, size} {
 			theirs, mine := New(time.Hour, time.Hour), New(time.Hour, time.Hour)
 			list := manyReplicas(size)
 			theirs.Apply(Listing{Replicas: list}, at(0))
-			mine.Apply(Listing{Replicas: changeSome(list, changes, random), Evacuated: []string{"2"}}, at(1))
+			mine.Apply(Listing{Replicas: changeRandomly(list, changes, random), Evacuated: []string{"2"}}, at(1))
 			excerpt := mine.Excerpt(HashWithStarts, theirs.PartHashes(HashWithStarts))
 			assert.LessOrEqual(t, len(excerpt.DifferingParts), changes, "%d of %d", changes, size)
 			theirs.Apply(theirs.MergeExcerpt(excerpt), at(1))
@@ -60,9 +59,9 @@
 	}
 }
 
-// An entry that is written anew may tell that the replica stays cold for longer, which
-// changes no mark: it comes with the next excerpt.
-func TestAnExcerptBringsColdEntriesThatWereWrittenAnew(t *testing.T) {
+// A rewritten entry may say that the replica stays cold for longer. This does not change
+// the list's hash, so the next excerpt has to include it.
+func TestExcerptIncludesRewrittenColdEntries(t *testing.T) {
 	cold := ready("a", "b")
 	cold[0].Cold, cold[0].ColdLeft = true, time.Second
 	theirs, mine := New(time.Hour, time.Hour), New(time.Hour, time.Hour)
@@ -74,8 +73,8 @@
 	assert.Equal(t, at(60), theirs.List()[0].ColdUntil)
 }
 
-// What vanished with its list is told to nobody, and is not forgotten for an excerpt.
-func TestAnExcerptLeavesOutWhatIsDoubted(t *testing.T) {
+// Unconfirmed replicas are not passed on, and applying an excerpt does not drop them.
+func TestExcerptOmitsUnconfirmedReplicas(t *testing.T) {
 	theirs, mine := New(time.Second, time.Minute), New(time.Second, time.Minute)
 	mine.Replace(ready("a", "b", "c"), at(0))
 	theirs.Replace(ready("a", "b", "c"), at(0))
@@ -88,16 +87,16 @@
 	assert.Len(t, theirs.List(), 3)
 }
 
-// A damaged excerpt names parts that there are not.
-func TestPartsThatThereAreNotAreLeftOut(t *testing.T) {
+// A damaged excerpt names parts that do not exist.
+func TestMergeExcerptIgnoresInvalidParts(t *testing.T) {
 	d := New(time.Hour, time.Hour)
 	d.Replace(ready("a"), at(0))
 	assert.Equal(t, d.Listing(), d.MergeExcerpt(Excerpt{PartCount: 2, DifferingParts: []uint32{7}}))
 	assert.Equal(t, d.Listing(), d.MergeExcerpt(Excerpt{}))
 }
 
-// A build that knows nothing of starts names the same list in another form.
-func TestFormsOfAList(t *testing.T) {
+// A build without start times hashes the same list in another format.
+func TestHashFormats(t *testing.T) {
 	born := make([]Replica, 0, 40)
 	for n := range 40 {
 		born = append(born, Replica{ID: fmt.Sprint("i-", n), Service: "s", Address: fmt.Sprint(n, ":1"), Born: int64(n + 1)})
@@ -117,9 +116,9 @@
 
 	plain[3].State = Draining
 	old.Replace(plain, at(1))
-	assert.Equal(t, HashPlain, newer.DetectHashFormat(old.PartHashes(HashWithStarts)), "also where a part differs")
+	assert.Equal(t, HashPlain, newer.DetectHashFormat(old.PartHashes(HashWithStarts)), "also if a part differs")
 	assert.Len(t, newer.Excerpt(HashPlain, old.PartHashes(HashWithStarts)).DifferingParts, 1)
 	newer.Apply(newer.FillStartTimes(old.Listing()), at(1))
 	assert.Equal(t, old.Hash(HashPlain), newer.Hash(HashPlain))
-	assert.EqualValues(t, 4, newer.List()[slices.IndexFunc(newer.List(), func(r Replica) bool { return r.ID == "i-3" })].Born, "what it told nothing of is still known")
+	assert.EqualValues(t, 4, newer.List()[slices.IndexFunc(newer.List(), func(r Replica) bool { return r.ID == "i-3" })].Born, "the start time that the other list lacks is kept")
 }
--- a/pkg/directory/restart_test.go
+++ b/pkg/directory/restart_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A replica's entries, one after the other, a second apart; changes are those of it.
-func TestLivesOfAReplica(t *testing.T) {
+// Each case reads consecutive entries of one replica, a second apart, and compares the
+// changes.
+func TestReplicaRestartsAndInvalidEntries(t *testing.T) {
 	const grace = 2500 * time.Millisecond
 	entry := func(born int64, counted uint64, state State) Replica {
 		r := Replica{ID: "a", Service: "s", Address: "10.0.0.1:1", State: state, Born: born, NextSequence: counted}
@@ -21,20 +22,20 @@
 		entries []Replica
 		want    []ChangeKind
 	}{
-		"a later start":                        {[]Replica{entry(1000, 0, Ready), entry(1000, 0, Ready), entry(2000, 0, Ready)}, []ChangeKind{Joined, "", Restarted}},
-		"an older start that comes late":       {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(2000, 0, Ready)}, []ChangeKind{Joined, "", ""}},
-		"its clock was set back":               {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready)}, []ChangeKind{Joined, "", "", "", Restarted}},
-		"an older start that leaves":           {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Draining)}, []ChangeKind{Joined, DrainStarted}},
-		"an older start that left, late":       {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Draining), entry(2000, 0, Ready)}, []ChangeKind{Joined, DrainStarted, ListedAgain}},
-		"set back, and leaves":                 {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Draining)}, []ChangeKind{Joined, "", DrainStarted}},
-		"it says from now on when it started":  {[]Replica{entry(0, 5, Ready), entry(1000, 6, Ready)}, []ChangeKind{Joined, ""}},
-		"counts that start anew":               {[]Replica{entry(0, 5, Ready), entry(0, 1, Ready), entry(0, 2, Ready)}, []ChangeKind{Joined, Restarted, ""}},
-		"counts that start anew, told by none": {[]Replica{entry(0, 5, Ready), entry(0, 0, Ready), entry(0, 1, Ready)}, []ChangeKind{Joined, "", Restarted}},
-		"the start decides before the counts":  {[]Replica{entry(1000, 5, Ready), entry(1000, 1, Ready)}, []ChangeKind{Joined, ""}},
-		"spoilt and written again":             {[]Replica{entry(1000, 5, Ready), entry(0, 0, Unusable), entry(0, 0, Unusable), entry(1000, 6, Ready)}, []ChangeKind{Joined, EntryInvalidated, "", EntryUsableAgain}},
-		"started again behind a spoilt entry":  {[]Replica{entry(1000, 5, Ready), entry(0, 0, Unusable), entry(2000, 1, Ready)}, []ChangeKind{Joined, EntryInvalidated, Restarted}},
-		"spoilt from the first":                {[]Replica{entry(0, 0, Unusable), entry(1000, 1, Ready)}, []ChangeKind{EntryInvalidated, EntryUsableAgain}},
-		"draining again after a restart":       {[]Replica{entry(1000, 1, Draining), entry(2000, 1, Ready), entry(2000, 2, Draining)}, []ChangeKind{Joined, Restarted, DrainStarted}},
+		"a later start":                                     {[]Replica{entry(1000, 0, Ready), entry(1000, 0, Ready), entry(2000, 0, Ready)}, []ChangeKind{Joined, "", Restarted}},
+		"an older start that arrives late":                  {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(2000, 0, Ready)}, []ChangeKind{Joined, "", ""}},
+		"its clock was set back":                            {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Ready)}, []ChangeKind{Joined, "", "", "", Restarted}},
+		"an older start that drains":                        {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Draining)}, []ChangeKind{Joined, DrainStarted}},
+		"an older start drains, then the later start":       {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Draining), entry(2000, 0, Ready)}, []ChangeKind{Joined, DrainStarted, ListedAgain}},
+		"the clock was set back, then it drains":            {[]Replica{entry(2000, 0, Ready), entry(1000, 0, Ready), entry(1000, 0, Draining)}, []ChangeKind{Joined, "", DrainStarted}},
+		"a start time is added":                             {[]Replica{entry(0, 5, Ready), entry(1000, 6, Ready)}, []ChangeKind{Joined, ""}},
+		"the sequence restarts":                             {[]Replica{entry(0, 5, Ready), entry(0, 1, Ready), entry(0, 2, Ready)}, []ChangeKind{Joined, Restarted, ""}},
+		"the sequence restarts, first without a number":     {[]Replica{entry(0, 5, Ready), entry(0, 0, Ready), entry(0, 1, Ready)}, []ChangeKind{Joined, "", Restarted}},
+		"the start time takes precedence over the sequence": {[]Replica{entry(1000, 5, Ready), entry(1000, 1, Ready)}, []ChangeKind{Joined, ""}},
+		"invalidated and rewritten":                         {[]Replica{entry(1000, 5, Ready), entry(0, 0, Unusable), entry(0, 0, Unusable), entry(1000, 6, Ready)}, []ChangeKind{Joined, EntryInvalidated, "", EntryUsableAgain}},
+		"restarted behind an unusable entry":                {[]Replica{entry(1000, 5, Ready), entry(0, 0, Unusable), entry(2000, 1, Ready)}, []ChangeKind{Joined, EntryInvalidated, Restarted}},
+		"unusable from the first read":                      {[]Replica{entry(0, 0, Unusable), entry(1000, 1, Ready)}, []ChangeKind{EntryInvalidated, EntryUsableAgain}},
+		"draining again after a restart":                    {[]Replica{entry(1000, 1, Draining), entry(2000, 1, Ready), entry(2000, 2, Draining)}, []ChangeKind{Joined, Restarted, DrainStarted}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -56,8 +57,8 @@
 	}
 }
 
-// All entries of a service that are overwritten at once were not lost with the list.
-func TestSpoiltEntriesGetNothingAndNoDoubt(t *testing.T) {
+// If all entries of a service are overwritten at once, the list has not lost them.
+func TestUnusableEntriesAreNeitherReadyNorUnconfirmed(t *testing.T) {
 	begin := time.Now()
 	d := New(time.Hour, time.Hour)
 	var good, bad []Replica
@@ -75,8 +76,8 @@
 	assert.True(t, d.Ready("a"))
 }
 
-// One router saw what stood there before, the other did not.
-func TestSpoiltEntriesHaveTheSameSumsEverywhere(t *testing.T) {
+// Only one of the two routers saw the entry that was overwritten.
+func TestUnusableEntriesHashAlikeOnAllRouters(t *testing.T) {
 	begin := time.Now()
 	saw, other := New(time.Hour, time.Hour), New(time.Hour, time.Hour)
 	saw.Replace([]Replica{{ID: "a", Service: "s", Address: "a:1", Born: 1000, NextSequence: 3}}, begin)
@@ -87,7 +88,7 @@
 	assert.Equal(t, other.PartHashes(HashWithStarts), saw.PartHashes(HashWithStarts))
 }
 
-func TestAListWithoutStartsHasTheMarkItAlwaysHad(t *testing.T) {
+func TestHashWithoutStartTimesIsUnchanged(t *testing.T) {
 	d := New(time.Hour, time.Hour)
 	d.Replace([]Replica{{ID: "a", Service: "s", Address: "a:1"}}, time.Now())
 	before := d.Hash(HashWithStarts)
--- a/pkg/directory/warmth_test.go
+++ b/pkg/directory/warmth_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cold returns a replica whose entry of a revision says for how long it is cold.
+// cold returns a replica whose entry, of the given revision, says how long it stays cold.
 func cold(id string, entry uint64, left time.Duration) Replica {
 	return Replica{ID: id, Service: "s", Address: id + ":1", DataCentre: "north", Entry: entry, Cold: left > 0, ColdLeft: left}
 }
 
-// passed returns a listing as another router gets it.
-func passed(t *testing.T, l Listing) Listing {
+// roundTrip returns a listing as another router receives it.
+func roundTrip(t *testing.T, l Listing) Listing {
 	t.Helper()
 	text, err := json.Marshal(l)
 	require.NoError(t, err)
@@ -24,7 +24,7 @@
 	return out
 }
 
-func TestColdIsCountedDownFromTheReadThatTellsIt(t *testing.T) {
+func TestColdTimeRunsFromTheRead(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
 		reads []Replica
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestTheMarkDoesNotCountDown(t *testing.T) {
+func TestHashIgnoresRemainingColdTime(t *testing.T) {
 	d := New(9*time.Second, 2*time.Second)
 	d.Replace([]Replica{cold("a", 1, 3*time.Second)}, at(0))
 	fresh := d.Hash(HashWithStarts)
@@ -62,25 +62,25 @@
 	d.Confirm(at(2))
 	assert.Equal(t, fresh, d.Hash(HashWithStarts))
 	d.Replace([]Replica{cold("a", 3, 0)}, at(3))
-	assert.NotEqual(t, fresh, d.Hash(HashWithStarts), "that it is warm is news")
+	assert.NotEqual(t, fresh, d.Hash(HashWithStarts), "becoming warm changes the hash")
 }
 
-func TestColdIsPassedOnAsOfTheRead(t *testing.T) {
+func TestListingHasRemainingColdTimeAtTheRead(t *testing.T) {
 	first, second := New(9*time.Second, 2*time.Second), New(9*time.Second, 2*time.Second)
 	first.Replace([]Replica{cold("a", 1, 3*time.Second)}, at(0))
 	first.Confirm(at(1))
-	// The other router's clock is another one: what was read at 1 here was read at 501 there.
-	second.Apply(passed(t, first.Listing()), at(501))
+	// The routers' clocks differ: what was read at 1 here was read at 501 there.
+	second.Apply(roundTrip(t, first.Listing()), at(501))
 	assert.Equal(t, at(503), second.List()[0].ColdUntil)
 	assert.Equal(t, first.Hash(HashWithStarts), second.Hash(HashWithStarts))
 	first.Confirm(at(4))
 	third := New(9*time.Second, 2*time.Second)
-	third.Apply(passed(t, first.Listing()), at(504))
-	assert.Zero(t, third.List()[0].ColdUntil, "the time is over")
-	assert.Equal(t, first.Hash(HashWithStarts), third.Hash(HashWithStarts), "the entry still says cold: both know the same list")
+	third.Apply(roundTrip(t, first.Listing()), at(504))
+	assert.Zero(t, third.List()[0].ColdUntil, "the cold time is over")
+	assert.Equal(t, first.Hash(HashWithStarts), third.Hash(HashWithStarts), "the entry still says cold, so both lists are equal")
 }
 
-func TestADataCentreIsEvacuatedAndTakenBack(t *testing.T) {
+func TestDataCentreEvacuationStartsAndEnds(t *testing.T) {
 	centres := func(list []Change) map[string]ChangeKind {
 		out := make(map[string]ChangeKind)
 		for _, c := range list {
@@ -100,14 +100,14 @@
 	assert.False(t, d.List()[1].Evacuated)
 
 	assert.Empty(t, d.Confirm(at(2)))
-	assert.Empty(t, d.Apply(Listing{list, nil}, at(1.5)), "an older read says nothing")
+	assert.Empty(t, d.Apply(Listing{list, nil}, at(1.5)), "an older read is ignored")
 	assert.Equal(t, []string{"north"}, d.Listing().Evacuated)
 	joined := append(list, Replica{ID: "c", DataCentre: "north"})
 	assert.Empty(t, centres(d.Apply(Listing{joined, []string{"north", "north"}}, at(3))))
-	assert.True(t, d.List()[2].Evacuated, "one that joins there is evacuated as well")
+	assert.True(t, d.List()[2].Evacuated, "a replica that joins the data centre is evacuated as well")
 
 	other := New(9*time.Second, 2*time.Second)
-	assert.Equal(t, map[string]ChangeKind{"north": Evacuated}, centres(other.Apply(passed(t, d.Listing()), at(3))))
+	assert.Equal(t, map[string]ChangeKind{"north": Evacuated}, centres(other.Apply(roundTrip(t, d.Listing()), at(3))))
 	assert.Equal(t, d.Hash(HashWithStarts), other.Hash(HashWithStarts))
 
 	assert.Equal(t, map[string]ChangeKind{"north": EvacuationEnded}, centres(d.Apply(Listing{list, nil}, at(4))))
@@ -115,14 +115,14 @@
 	assert.False(t, d.List()[0].Evacuated)
 }
 
-func TestWhatIsTakenBackCountsAsColdUntilItsEntriesTell(t *testing.T) {
+func TestReplicasAreColdAfterAnEvacuationUntilRewritten(t *testing.T) {
 	d := New(9*time.Second, 2*time.Second)
 	list := []Replica{cold("a", 1, 0), cold("b", 1, 0), cold("c", 1, 0), {ID: "d", DataCentre: "south"}}
 	d.Apply(Listing{list, []string{"north"}}, at(0))
 	list[1] = cold("b", 2, 3*time.Second)
 	d.Apply(Listing{list, nil}, at(1))
 	assert.Equal(t, at(3), d.List()[0].ColdUntil)
-	assert.Equal(t, at(4), d.List()[1].ColdUntil, "its entry tells of more")
+	assert.Equal(t, at(4), d.List()[1].ColdUntil, "its entry says longer")
 	assert.Zero(t, d.List()[3].ColdUntil)
 	list[0], list[2] = cold("a", 2, 3*time.Second), cold("c", 2, 0)
 	d.Apply(Listing{list, nil}, at(2))
