--- a/internal/watch/generation_test.go
+++ b/internal/watch/generation_test.go
@@ -13,8 +13,8 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// The directory of newWatcher has a grace of 2 s: facts hold for 4 s, and reads prove
-// nothing of the configuration for 2 s.
+// The directory of newWatcher has a grace period of 2 s: facts apply for 4 s, and reads
+// prove nothing about the configuration for 2 s.
 
 func listOf(generation, version uint64, list []directory.Replica) Snapshot {
 	return Snapshot{Generation: generation, Config: config(version), Replicas: list}
@@ -26,18 +26,18 @@
 	return list
 }
 
-func TestAReadOfACopyProvesNothingUntilTheOperatorHasWrittenAgain(t *testing.T) {
+func TestReadAfterARewindProvesNothingForTheGracePeriod(t *testing.T) {
 	copies := map[string]struct {
 		snapshot func(list []directory.Replica) Snapshot
 	}{
 		"a later generation":            {func(l []directory.Replica) Snapshot { return listOf(2, 4, l) }},
 		"with an earlier configuration": {func(l []directory.Replica) Snapshot { return listOf(2, 3, l) }},
-		"a revision that fell, untold": {func(l []directory.Replica) Snapshot {
+		"a lower revision without a generation": {func(l []directory.Replica) Snapshot {
 			s := listOf(1, 4, l)
 			s.RevisionDrops, s.GenerationMissing = 1, true
 			return s
 		}},
-		"with a later configuration than": {func(l []directory.Replica) Snapshot { return listOf(2, 5, l) }},
+		"with a later configuration": {func(l []directory.Replica) Snapshot { return listOf(2, 5, l) }},
 	}
 	for name, test := range copies {
 		t.Run(name, func(t *testing.T) {
@@ -53,10 +53,10 @@
 				for range 4 {
 					read()
 					assert.Equal(t, start, f.holder.Current().ProvenAt)
-					assert.Zero(t, f.ListAge(time.Now()), "the list is read all the same")
+					assert.Zero(t, f.ListAge(time.Now()), "the list is still read")
 					assert.Zero(t, f.Age(time.Now()))
 					ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
-					assert.ErrorIs(t, f.WaitFresh(ctx, time.Now()), ErrUnproven, "told at once")
+					assert.ErrorIs(t, f.WaitFresh(ctx, time.Now()), ErrUnproven, "returns at once")
 					cancel()
 					time.Sleep(500 * time.Millisecond)
 				}
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestWhatAnEarlierLifeAnsweredIsAsNoAnswer(t *testing.T) {
+func TestReadOfAnEarlierGenerationIsRejected(t *testing.T) {
 	list := replicas("a", "b")
 	now := time.Now()
 	source := &fakeSource{snapshot: listOf(1, 9, list)}
@@ -81,11 +81,11 @@
 	assert.EqualValues(t, 4, f.Digest().Version)
 	assert.False(t, f.Ready("a"))
 	assert.EqualValues(t, 3, f.log.Count(event.SourcePast))
-	require.NoError(t, f.ApplySnapshot(Snapshot{Config: config(4), Replicas: list}, now), "who tells no generation is believed")
+	require.NoError(t, f.ApplySnapshot(Snapshot{Config: config(4), Replicas: list}, now), "a read without a generation is accepted")
 	assert.True(t, f.Ready("a"))
 }
 
-func TestAnEraNoLongerToldIsWrittenOnce(t *testing.T) {
+func TestMissingGenerationIsLoggedOnce(t *testing.T) {
 	f := newWatcher(&fakeSource{}, 0)
 	for n, untold := range []bool{false, true, true, false, true} {
 		s := listOf(3, 4, nil)
@@ -95,8 +95,8 @@
 	assert.EqualValues(t, 2, f.log.Count(event.SourceUntold))
 }
 
-// exchange has each of two learn from the other what it lacks, as routers do.
-func exchange(t *testing.T, routers ...*Watcher) {
+// exchangeKnowledge lets each router learn from every other one what it lacks, as in production.
+func exchangeKnowledge(t *testing.T, routers ...*Watcher) {
 	t.Helper()
 	for _, learner := range routers {
 		for _, teacher := range routers {
@@ -110,9 +110,9 @@
 	}
 }
 
-// Three routers know a drain, one who left and an evacuation; the fourth starts after the
-// store came back from a copy without them, and is the one that reads.
-func TestARouterThatStartsAfterTheCopyHeedsWhatOthersKnew(t *testing.T) {
+// Three routers know of a drain, a departure and an evacuation. The fourth starts after
+// the store was restored from a copy without them, and is the one that reads.
+func TestRouterStartedAfterARewindAppliesPeerFacts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		copied := replicas("a", "b", "c", "d")
 		copied[3].DataCentre = "north"
@@ -132,10 +132,10 @@
 		require.NoError(t, fresh.ApplySnapshot(copy, time.Now()))
 		all := append(old, fresh)
 		require.NoError(t, old[0].ApplySnapshot(copy, time.Now()))
-		exchange(t, old[1], fresh)
-		assert.False(t, old[1].Ready("b"), "who knows nothing says nothing against what others know")
+		exchangeKnowledge(t, old[1], fresh)
+		assert.False(t, old[1].Ready("b"), "a router without facts does not override those of others")
 		for range 3 {
-			exchange(t, all...)
+			exchangeKnowledge(t, all...)
 		}
 		for _, f := range all {
 			assert.EqualValues(t, 4, f.Digest().Version)
@@ -143,15 +143,16 @@
 			for id, ready := range map[string]bool{"a": false, "b": false, "c": true, "d": false} {
 				assert.Equal(t, ready, f.Ready(id), id)
 			}
-			assert.Equal(t, fresh.Digest(), f.Digest(), "all hold the same, and ask no more")
+			assert.Equal(t, fresh.Digest(), f.Digest(), "all routers hold the same state and request nothing more")
 			assert.True(t, f.holder.DistrustsRead(time.Now()))
 		}
-		// The operator and the replicas write again, and the fourth reads on.
+		// The operator and the replicas write again, and the fourth router continues to
+		// read.
 		time.Sleep(1900 * time.Millisecond)
 		known.Generation = 2
 		for range 8 {
 			require.NoError(t, fresh.ApplySnapshot(known, time.Now()))
-			exchange(t, all...)
+			exchangeKnowledge(t, all...)
 			time.Sleep(500 * time.Millisecond)
 		}
 		for _, f := range all {
@@ -164,9 +165,9 @@
 	})
 }
 
-// What a router knew that was cut off until long after the copy is not news: the others
-// would doubt for it what has been written again.
-func TestWhoComesBackLongAfterTheCopyHoldsNothingAgainstIt(t *testing.T) {
+// A router was cut off until long after the restore. Its outdated facts must not make
+// other routers distrust what has been written again since.
+func TestRouterReconnectedLateHoldsNoFacts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := replicas("a", "b")
 		f, cut := newWatcher(&fakeSource{}, 0), newWatcher(&fakeSource{}, 1)
@@ -182,19 +183,19 @@
 		require.NoError(t, reads.ApplySnapshot(listOf(2, 4, list), time.Now()), "it reads for itself before it hears others")
 		assert.True(t, reads.holder.DistrustsRead(time.Now()))
 		for range 2 {
-			exchange(t, f, cut, reads)
+			exchangeKnowledge(t, f, cut, reads)
 		}
 		for _, r := range []*Watcher{f, cut} {
 			assert.True(t, r.Ready("a"))
 			assert.False(t, r.holder.DistrustsRead(time.Now()))
 		}
 		assert.EqualValues(t, 2, cut.Digest().Generation)
-		assert.Zero(t, cut.log.Count(event.SourceRewound), "others say that all has been written again")
+		assert.Zero(t, cut.log.Count(event.SourceRewound), "by the other routers, everything has been written again")
 	})
 }
 
-// Proofs of an earlier life that cross those of a later one count for nothing.
-func TestProofsOfTwoLivesCross(t *testing.T) {
+// Proofs of an earlier generation that arrive after those of a later one have no effect.
+func TestProofOfAnEarlierGenerationIsIgnored(t *testing.T) {
 	now := time.Now()
 	list := replicas("a", "b")
 	late, f := newWatcher(&fakeSource{}, 1), newWatcher(&fakeSource{}, 0)
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -17,7 +17,7 @@
 	return ids
 }
 
-// teacherAndLearner returns two watchers of which one knows of a replica less.
+// teacherAndLearner returns two watchers, of which the teacher knows one replica less.
 func teacherAndLearner(now time.Time) (teacher, learner *Watcher) {
 	ids := manyIDs(100)
 	teacher, learner = newWatcher(&fakeSource{}, 0), newWatcher(&fakeSource{}, 1)
@@ -26,7 +26,7 @@
 	return teacher, learner
 }
 
-func TestOnlyWhatDiffersIsPassedOn(t *testing.T) {
+func TestKnowledgeHasOnlyDifferences(t *testing.T) {
 	now := time.Now()
 	teacher, learner := teacherAndLearner(now)
 	k, _ := teacher.Knowledge(learner.KnowledgeRequest(), now)
@@ -36,10 +36,10 @@
 	learner.ApplyKnowledge(k, now.Add(time.Second), now.Add(time.Second), "peer")
 	assert.Equal(t, teacher.Replicas(), learner.Replicas())
 	k, _ = teacher.Knowledge(learner.KnowledgeRequest(), now)
-	assert.Nil(t, k.Excerpt, "both know the same")
+	assert.Nil(t, k.Excerpt, "both have the same list")
 }
 
-func TestAListThatDiffersInMostIsPassedOnWhole(t *testing.T) {
+func TestKnowledgeHasTheWholeListWhenMostPartsDiffer(t *testing.T) {
 	now := time.Now()
 	teacher, learner := newWatcher(&fakeSource{}, 0), newWatcher(&fakeSource{}, 1)
 	learner.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas(manyIDs(10)...)}, now)
@@ -48,23 +48,23 @@
 	assert.Nil(t, k.Excerpt)
 	require.NotNil(t, k.Listing)
 	k, _ = teacher.Knowledge(newWatcher(&fakeSource{}, 1).KnowledgeRequest(), now)
-	assert.NotNil(t, k.Listing, "who has nothing takes all")
+	assert.NotNil(t, k.Listing, "a router without a list receives all of it")
 	assert.NotNil(t, k.Config)
 }
 
-// An excerpt fits only the list that it was asked for.
-func TestAnExcerptOfAListThatHasChangedIsLeftOut(t *testing.T) {
+// An excerpt applies only to the list that it was requested for.
+func TestExcerptOfAChangedListIsIgnored(t *testing.T) {
 	now := time.Now()
 	teacher, learner := teacherAndLearner(now)
 	k, _ := teacher.Knowledge(learner.KnowledgeRequest(), now)
 	learner.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas(manyIDs(99)...)}, now.Add(500*time.Millisecond))
 	learner.ApplyKnowledge(k, now.Add(time.Second), now.Add(time.Second), "peer")
 	assert.Len(t, learner.Replicas(), 99)
-	assert.Equal(t, now.Add(500*time.Millisecond), learner.holder.Current().ProvenAt, "it proves nothing")
+	assert.Equal(t, now.Add(500*time.Millisecond), learner.holder.Current().ProvenAt, "the excerpt proves nothing")
 }
 
-// Sums of 32 bits may be alike by chance. The mark then tells that something is wrong.
-func TestAfterAnExcerptThatDoesNotFitTheWholeListIsTaken(t *testing.T) {
+// Hashes of 32 bits may collide. The hash of the whole list then shows the mismatch.
+func TestWholeListIsRequestedAfterAHashMismatch(t *testing.T) {
 	now := time.Now()
 	teacher, learner := teacherAndLearner(now)
 	k, _ := teacher.Knowledge(learner.KnowledgeRequest(), now)
--- a/internal/watch/list_test.go
+++ b/internal/watch/list_test.go
@@ -13,9 +13,9 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// A grown day broke DRAIN once: the list was 3.8 s old at a router whose reads of a
-// configuration of 300 KB came late over 10 Mbit/s.
-func TestTheListIsRenewedWithoutTheConfiguration(t *testing.T) {
+// Guards against requests to a draining replica by a list that is 3.8 s old: reads that
+// include a configuration of 300 KB come late over 10 Mbit/s.
+func TestRefreshListOmitsTheConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeSource{snapshot: Snapshot{Config: config(1), Replicas: []directory.Replica{{ID: "a", Service: "s"}}}}
 		f := newWatcher(s, 0)
@@ -31,14 +31,14 @@
 		for range 5 {
 			require.NoError(t, <-results)
 		}
-		assert.EqualValues(t, 2, s.reads.Load(), "one read for all that wait")
+		assert.EqualValues(t, 2, s.reads.Load(), "one read for all callers")
 		assert.Equal(t, directory.Draining, f.Replicas()[0].State)
 		assert.Equal(t, 20*time.Millisecond, f.ListAge(time.Now()))
-		assert.Equal(t, 3020*time.Millisecond, f.Staleness(time.Now()), "the configuration is not proven by it")
+		assert.Equal(t, 3020*time.Millisecond, f.Staleness(time.Now()), "the refresh does not prove the configuration")
 	})
 }
 
-func TestAListThatCannotBeRenewedIsNotAskedForByEachRequest(t *testing.T) {
+func TestFailedRefreshIsNotRepeatedByEachRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeSource{err: errors.New("down")}
 		f := newWatcher(s, 0)
@@ -47,7 +47,7 @@
 			require.ErrorIs(t, f.RefreshList(t.Context(), since), ErrNotRefreshed)
 		}
 		assert.EqualValues(t, 1, s.reads.Load())
-		// Its turn comes within half of a period, as long as no other router is heard.
+		// Its turn comes within half a period, as long as no other router is heard.
 		time.Sleep(500 * time.Millisecond)
 		require.ErrorIs(t, f.RefreshList(t.Context(), since), ErrNotRefreshed)
 		assert.EqualValues(t, 2, s.reads.Load())
@@ -64,19 +64,19 @@
 	})
 }
 
-// What a peer proves may be older than a list that was read alone.
-func TestAPeerProvesTheConfigurationBesideANewerList(t *testing.T) {
+// A peer's proof may be older than a list that was read separately.
+func TestPeerProofAppliesToConfigurationWhenListIsNewer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeSource{snapshot: Snapshot{Config: config(1), Replicas: []directory.Replica{{ID: "a", Service: "s"}}}}
 		f := newWatcher(s, 0)
 		require.NoError(t, f.readOnce(t.Context()))
 		time.Sleep(2 * time.Second)
 		require.NoError(t, f.RefreshList(t.Context(), time.Now().Add(-time.Second)))
-		word := f.Digest()
-		assert.False(t, f.ApplyPeerProof(word, time.Now().Add(-500*time.Millisecond)))
+		digest := f.Digest()
+		assert.False(t, f.ApplyPeerProof(digest, time.Now().Add(-500*time.Millisecond)))
 		assert.Equal(t, 500*time.Millisecond, f.Staleness(time.Now()))
 		assert.Zero(t, f.ListAge(time.Now()))
-		word.ListHash++
-		assert.False(t, f.ApplyPeerProof(word, time.Now().Add(-400*time.Millisecond)), "an older list is not newer")
+		digest.ListHash++
+		assert.False(t, f.ApplyPeerProof(digest, time.Now().Add(-400*time.Millisecond)), "an older list is not newer")
 	})
 }
--- a/internal/watch/outage_test.go
+++ b/internal/watch/outage_test.go
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// How old a list may be in these tests.
+// testLimit is the maximum age of a list in these tests.
 const testLimit = 2 * time.Second
 
-func TestASourceIsSilentOnlyWhileThisAndAnotherRouterAreNotAnswered(t *testing.T) {
+func TestStoreUnavailableRequiresOwnFailureAndStalePeers(t *testing.T) {
 	tests := map[string]struct {
 		err   error
 		delay time.Duration
-		// asked and told are how long ago another router was asked, and how old what
-		// it told was; none was heard if told is zero.
+		// asked is how long ago another router was asked, and told the age of its proof.
+		// If told is zero no other router was heard.
 		asked, told time.Duration
 		want        bool
 	}{
@@ -42,15 +42,15 @@
 					f.ObservePeerProof(now.Add(-test.asked), now.Add(-test.told))
 				}
 				assert.Equal(t, test.want, f.StoreUnavailable(testLimit, now))
-				assert.False(t, f.StoreUnavailable(testLimit, now.Add(testLimit)), "what was seen so long ago shows nothing")
+				assert.False(t, f.StoreUnavailable(testLimit, now.Add(testLimit)), "an old observation has no effect")
 			})
 		})
 	}
 }
 
-// A read that hangs is known to before its time is over, and a request that comes
+// A read that hangs counts as unanswered before it times out, and a request that arrives
 // then does not wait for it.
-func TestAReadWithoutAnAnswerCountsBeforeItsTimeIsOver(t *testing.T) {
+func TestPendingReadCountsAsFailedBeforeItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newWatcher(&fakeSource{delay: time.Minute}, 0)
 		go func() { _ = f.RefreshList(t.Context(), time.Now()) }()
@@ -66,9 +66,10 @@
 	})
 }
 
-// A large fleet makes a round each 600 ms, and all partners are asked at once. While the
-// source answers nobody, what the last round told holds until the next one.
-func TestWhatALargeFleetToldHoldsUntilItsNextRound(t *testing.T) {
+// A large fleet has a gossip round every 600 ms, in which all partners are asked at once.
+// While the source answers no router, the answers of the last round count until the next
+// one.
+func TestPeerProofHoldsUntilTheNextGossipRound(t *testing.T) {
 	const limit, round = 1600 * time.Millisecond, 600 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		f := newWatcher(&fakeSource{err: errors.New("down"), snapshot: Snapshot{Config: config(1)}}, 0)
@@ -80,9 +81,9 @@
 	})
 }
 
-// While the source answers nobody its routers try it in turns, so that one's own failure
-// grows old. Those of others that try meanwhile keep it true.
-func TestFailuresOfOthersKeepASourceSilent(t *testing.T) {
+// While the source answers no router, routers try it in turns, so that a router's own
+// failure ages. Failures of other routers that try in the meantime keep it valid.
+func TestPeerFailuresKeepTheStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newWatcher(&fakeSource{err: errors.New("down"), snapshot: Snapshot{Config: config(1)}}, 0)
 		_ = f.readOnce(t.Context())
@@ -98,15 +99,15 @@
 		assert.True(t, f.StoreUnavailable(testLimit, time.Now()))
 		age, failed := f.LastFailure(time.Now())
 		assert.True(t, failed)
-		assert.Equal(t, time.Second, age, "what is passed on grows old on its way")
+		assert.Equal(t, time.Second, age, "the age includes the time in transit")
 
 		other := newWatcher(&fakeSource{}, 1)
 		other.ObservePeerProof(time.Now(), begin)
 		other.ObservePeerFailure(time.Now())
-		assert.False(t, other.StoreUnavailable(testLimit, time.Now()), "each tries for itself before it believes it")
+		assert.False(t, other.StoreUnavailable(testLimit, time.Now()), "a router relies on a failure of its own first")
 		require.NoError(t, f.ApplySnapshot(Snapshot{Config: config(1)}, time.Now().Add(time.Millisecond)))
 		_, failed = f.LastFailure(time.Now())
-		assert.False(t, failed, "another was answered")
+		assert.False(t, failed, "another read was answered")
 		assert.False(t, f.SourceFailing())
 	})
 }
--- a/internal/watch/updates_test.go
+++ b/internal/watch/updates_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestNewsComesWithEachChange(t *testing.T) {
+func TestUpdatesSignalsEachChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newWatcher(&fakeSource{}, 0)
 		closed := func(c <-chan struct{}) bool {
@@ -19,16 +19,16 @@
 				return false
 			}
 		}
-		news, expected := f.Updates()
+		updates, expected := f.Updates()
 		assert.True(t, expected, "there is no list yet")
 		f.ApplySnapshot(Snapshot{Config: config(1), Replicas: replicas("a")}, time.Now())
-		assert.True(t, closed(news))
+		assert.True(t, closed(updates))
 
 		time.Sleep(time.Millisecond)
-		news, expected = f.Updates()
+		updates, expected = f.Updates()
 		assert.False(t, expected)
 		f.ApplySnapshot(Snapshot{Config: config(1), Replicas: replicas("a")}, time.Now())
-		assert.False(t, closed(news), "nothing has changed")
+		assert.False(t, closed(updates), "no change")
 
 		for _, change := range []struct {
 			name     string
@@ -38,20 +38,20 @@
 			{"list", Snapshot{Config: config(2), Replicas: replicas("a", "b")}},
 		} {
 			time.Sleep(time.Millisecond)
-			news, _ = f.Updates()
+			updates, _ = f.Updates()
 			f.ApplySnapshot(change.snapshot, time.Now())
-			assert.True(t, closed(news), change.name)
+			assert.True(t, closed(updates), change.name)
 		}
 
 		time.Sleep(time.Millisecond)
-		news, _ = f.Updates()
+		updates, _ = f.Updates()
 		mark := f.Digest().ListHash
 		f.ApplyKnowledge(Knowledge{Config: config(3), Version: 3, ListHash: mark}, time.Now(), time.Now(), "other")
-		assert.True(t, closed(news), "from another router")
+		assert.True(t, closed(updates), "from another router")
 	})
 }
 
-func TestNewsIsExpectedWhileAListIsRead(t *testing.T) {
+func TestUpdatesAreExpectedDuringARefresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &fakeSource{snapshot: Snapshot{Replicas: replicas("a", "b")}, delay: 10 * time.Millisecond}
 		f := newWatcher(source, 0)
@@ -60,16 +60,16 @@
 		done := make(chan error)
 		go func() { done <- f.RefreshList(t.Context(), time.Now().Add(-time.Millisecond)) }()
 		synctest.Wait()
-		news, expected := f.Updates()
+		updates, expected := f.Updates()
 		assert.True(t, expected)
-		<-news
+		<-updates
 		assert.NoError(t, <-done)
 		_, expected = f.Updates()
 		assert.False(t, expected)
 	})
 }
 
-func TestWhenTheSourceIsReadNext(t *testing.T) {
+func TestNextRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newWatcher(&fakeSource{}, 0)
 		f.ApplySnapshot(Snapshot{Config: config(1), Replicas: replicas("a")}, time.Now())
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -47,11 +47,11 @@
 		directory.New(2*time.Second, 2*time.Second), freshness.NewHolder(), balance.New(1), event.Discard())
 }
 
-// newUnconfirmingWatcher returns a watcher alone, with the times of a deployment that lets
-// replicas drain for two seconds.
-func newUnconfirmingWatcher(s Source) *Watcher {
-	return New(s, Options{Period: cutPeriod, Timeout: cutPeriod},
-		directory.New(2*cutPeriod, cutGrace), freshness.NewHolder(), balance.New(1), event.Discard())
+// newWatcherWithoutPeers returns a watcher without peers, with the settings of a
+// deployment that lets replicas drain for two seconds.
+func newWatcherWithoutPeers(s Source) *Watcher {
+	return New(s, Options{Period: partitionReadPeriod, Timeout: partitionReadPeriod},
+		directory.New(2*partitionReadPeriod, partitionGracePeriod), freshness.NewHolder(), balance.New(1), event.Discard())
 }
 
 func config(version uint64) *route.Config { return &route.Config{Version: version} }
@@ -64,7 +64,7 @@
 	return list
 }
 
-func TestTheFirstRouterReadsAndTheOthersOnlyIfItDoesNot(t *testing.T) {
+func TestFirstRouterReadsAndOthersTakeOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		source := &fakeSource{snapshot: Snapshot{Config: config(1), Replicas: replicas("a")}}
@@ -74,14 +74,14 @@
 			time.Sleep(200 * time.Millisecond)
 			f.ApplyPeerProof(f.Digest(), time.Now())
 		}
-		assert.EqualValues(t, 1, source.reads.Load(), "others prove what it knows")
+		assert.EqualValues(t, 1, source.reads.Load(), "other routers prove the same state")
 		time.Sleep(1400 * time.Millisecond)
-		assert.EqualValues(t, 2, source.reads.Load(), "nobody does any more")
+		assert.EqualValues(t, 2, source.reads.Load(), "no other router does any more")
 		cancel()
 	})
 }
 
-func TestTheFirstReadWaitsForWhatPeersTell(t *testing.T) {
+func TestFirstReadWaitsForPeers(t *testing.T) {
 	for name, told := range map[string]bool{"told": true, "not told": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestAReadIsDatedFromWhenItWasSent(t *testing.T) {
+func TestProofIsDatedFromSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		source := &fakeSource{snapshot: Snapshot{Config: config(1)}, delay: 300 * time.Millisecond}
@@ -118,7 +118,7 @@
 	})
 }
 
-func TestALostSourceIsAskedMoreOften(t *testing.T) {
+func TestFailingSourceIsReadMoreOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		source := &fakeSource{err: errors.New("down")}
@@ -133,7 +133,7 @@
 	})
 }
 
-func TestABadConfigurationChangesNothing(t *testing.T) {
+func TestInvalidConfigurationIsIgnored(t *testing.T) {
 	f := newWatcher(&fakeSource{}, 0)
 	now := time.Now()
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas("a")}, now)
@@ -143,15 +143,15 @@
 	f.ApplySnapshot(Snapshot{Config: bad, Replicas: replicas("a", "b")}, now.Add(2*time.Second))
 	version := f.Digest().Version
 	assert.EqualValues(t, 4, version)
-	assert.Len(t, f.Replicas(), 2, "the replicas are still followed")
-	assert.Equal(t, 3*time.Second, f.Staleness(now.Add(3*time.Second)), "what was not understood proves nothing")
+	assert.Len(t, f.Replicas(), 2, "the replicas are still updated")
+	assert.Equal(t, 3*time.Second, f.Staleness(now.Add(3*time.Second)), "a read that cannot be decoded proves nothing")
 }
 
-// The grown site of hrs-croftyard, trouble-1: DRAIN (finding 3). Knowledge of
-// another router that left out the replicas, because they were the same when it
-// was asked for, came after they had changed here; it proved the configuration,
-// and with it a list that it did not confirm.
-func TestKnowledgeThatDoesNotFitProvesNothing(t *testing.T) {
+// Guards against requests to a draining replica by an outdated list. Another router
+// leaves out the replicas from its knowledge because they were the same at the time of
+// the request, and they change here before the answer arrives. The answer must prove
+// neither the configuration nor a list that it does not confirm.
+func TestKnowledgeOfAnotherListProvesNothing(t *testing.T) {
 	f := newWatcher(&fakeSource{}, 0)
 	now := time.Now()
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas("a", "b")}, now)
@@ -166,7 +166,7 @@
 	assert.Equal(t, 2*time.Second, f.Age(now.Add(5*time.Second)))
 }
 
-func TestAnEvacuationIsFollowedPassedOnAndKept(t *testing.T) {
+func TestEvacuationIsAppliedAndPassedOn(t *testing.T) {
 	now := time.Now()
 	list := replicas("a", "b")
 	list[0].DataCentre = "north"
@@ -178,13 +178,13 @@
 
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: list, Evacuated: []string{"north"}}, now.Add(time.Second))
 	assert.Equal(t, 1, f.balancer.ReadyCount("s"))
-	word := f.Digest()
-	assert.True(t, other.ApplyPeerProof(word, now.Add(time.Second)), "it is news")
+	digest := f.Digest()
+	assert.True(t, other.ApplyPeerProof(digest, now.Add(time.Second)), "the evacuation is new")
 	known, _ = f.Knowledge(KnowledgeRequest{}, now.Add(time.Second))
 	other.ApplyKnowledge(known, now.Add(time.Second), now.Add(time.Second), "peer")
 	assert.Equal(t, 1, other.balancer.ReadyCount("s"))
-	assert.False(t, other.ApplyPeerProof(word, now.Add(2*time.Second)), "both know it")
-	assert.Equal(t, 1, other.balancer.ReadyCount("s"), "a proof takes nothing back")
+	assert.False(t, other.ApplyPeerProof(digest, now.Add(2*time.Second)), "both know of the evacuation")
+	assert.Equal(t, 1, other.balancer.ReadyCount("s"), "a proof does not end the evacuation")
 	assert.EqualValues(t, 1, other.log.Count(event.CentreEvacuated), "logged once")
 
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: list}, now.Add(3*time.Second))
@@ -192,16 +192,16 @@
 	assert.EqualValues(t, 1, f.log.Count(event.CentreReturned))
 }
 
-func TestARenewedListBringsEvacuations(t *testing.T) {
+func TestRefreshListAppliesEvacuations(t *testing.T) {
 	source := &fakeSource{snapshot: Snapshot{Config: config(4), Replicas: replicas("a"), Evacuated: []string{""}}}
 	f := newWatcher(source, 0)
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas("a")}, time.Now().Add(-time.Second))
 	assert.False(t, f.balancer.ServiceEvacuated("s"))
 	assert.NoError(t, f.RefreshList(t.Context(), time.Now().Add(-500*time.Millisecond)))
-	assert.True(t, f.balancer.ServiceEvacuated("s"), "replicas of the test are in the data centre without a name")
+	assert.True(t, f.balancer.ServiceEvacuated("s"), "the replicas of this test are in the data centre with an empty name")
 }
 
-func TestAgeIsThatOfTheOlderOfBoth(t *testing.T) {
+func TestAgeIsTheOlderOfConfigurationAndList(t *testing.T) {
 	f := newWatcher(&fakeSource{}, 0)
 	now := time.Now()
 	f.ApplySnapshot(Snapshot{Config: config(4), Replicas: replicas("a")}, now)
