--- a/internal/gossip/ask.go
+++ b/internal/gossip/ask.go
@@ -16,64 +16,64 @@
 // So that it is noticed when nobody knows anything newer, each asks a few in each round
 // as well. A datagram that is lost is made up for by the next round.
 const (
-	// askAll is up to how many routers each asks all its partners in each round: few
+	// queryAllLimit is up to how many routers each asks all its partners in each round: few
 	// are heard there, and each is to be heard twice a round.
-	askAll = 32
-	// asksARound is how many of its partners a router of a larger fleet asks.
-	asksARound = 2
-	// answerTime is how long an answer may take to come. Routers answer in some ms.
-	answerTime = 2 * time.Second
-	// maxAsked is how many questions for news may be open: a second one since the first
+	queryAllLimit = 32
+	// queriesPerRound is how many of its partners a router of a larger fleet asks.
+	queriesPerRound = 2
+	// answerTimeout is how long an answer may take to come. Routers answer in some ms.
+	answerTimeout = 2 * time.Second
+	// maxNewsQueries is how many questions for news may be open: a second one since the first
 	// may be lost, no more since many routers tell of the same news.
-	maxAsked = 2
-	// askAgain is after how long a question for news is taken to be lost.
-	askAgain = 100 * time.Millisecond
+	maxNewsQueries = 2
+	// queryRetry is after how long a question for news is taken to be lost.
+	queryRetry = 100 * time.Millisecond
 )
 
-// question is one that was not answered yet.
-type question struct {
+// query is one that was not answered yet.
+type query struct {
 	address string
 	at      time.Time
-	// news: it was asked since the other one seems to know more.
-	news bool
+	// forNews: it was asked since the other one seems to know more.
+	forNews bool
 }
 
-// turn returns the first of a number of partners to be asked in this round, and how
+// nextQueried returns the first of a number of partners to be asked in this round, and how
 // many are: others each time.
-func (g *Gossip) turn(partners int) (first, asks int) {
+func (g *Gossip) nextQueried(partners int) (first, asks int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if partners == 0 {
 		return 0, 0
 	}
-	asks = min(asksARound, partners)
-	if g.asksAll() {
+	asks = min(queriesPerRound, partners)
+	if g.queriesAll() {
 		asks = partners
 	}
-	first = g.turns % partners
-	g.turns += asks
+	first = g.queryOffset % partners
+	g.queryOffset += asks
 	return first, asks
 }
 
-// asksAll tells whether all partners are asked in each round. g.mu is held.
-func (g *Gossip) asksAll() bool { return g.members.Len() <= askAll }
+// queriesAll tells whether all partners are asked in each round. g.mu is held.
+func (g *Gossip) queriesAll() bool { return g.members.Len() <= queryAllLimit }
 
-// noteQuestion notes a question and returns its number.
-func (g *Gossip) noteQuestion(q question) uint32 {
+// addQuery notes a question and returns its number.
+func (g *Gossip) addQuery(q query) uint32 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lastQuestion = max(g.lastQuestion+1, 1)
-	g.questions[g.lastQuestion] = q
-	return g.lastQuestion
+	g.lastQuery = max(g.lastQuery+1, 1)
+	g.queries[g.lastQuery] = q
+	return g.lastQuery
 }
 
-// dropQuestions forgets questions that were not answered in time.
-func (g *Gossip) dropQuestions(now time.Time) {
+// expireQueries forgets questions that were not answered in time.
+func (g *Gossip) expireQueries(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for number, q := range g.questions {
-		if now.Sub(q.at) > answerTime {
-			delete(g.questions, number)
+	for number, q := range g.queries {
+		if now.Sub(q.at) > answerTimeout {
+			delete(g.queries, number)
 		}
 	}
 }
@@ -85,67 +85,67 @@
 	}
 	proven := now.Add(-milliseconds(d.GetProofMs()))
 	g.watcher.ObservePeerProof(time.Time{}, proven)
-	return !g.recalled.Load() || g.watcher.Behind(wordOf(d), proven)
+	return !g.holdersKnown.Load() || g.watcher.Behind(digestOf(d), proven)
 }
 
-// mayAsk tells whether a router may be asked for news beside those that are asked now.
-func (g *Gossip) mayAsk(address string, now time.Time) bool {
+// mayQuery tells whether a router may be asked for news beside those that are asked now.
+func (g *Gossip) mayQuery(address string, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	open := 0
-	for _, q := range g.questions {
-		if now.Sub(q.at) >= askAgain {
+	for _, q := range g.queries {
+		if now.Sub(q.at) >= queryRetry {
 			continue
 		}
 		if q.address == address {
 			return false
 		}
-		if q.news {
+		if q.forNews {
 			open++
 		}
 	}
-	return open < maxAsked
+	return open < maxNewsQueries
 }
 
-// mayGreet tells whether a router that has not said which data centre it is of may be
+// maySayHello tells whether a router that has not said which data centre it is of may be
 // asked for it: once in a round. One that has none to say would be asked with each datagram
 // of its own, the question being one itself: two such routers asked each other as fast as
 // the network went, for 0.17 to 0.32 of a core each.
-func (g *Gossip) mayGreet(address string, now time.Time) bool {
+func (g *Gossip) maySayHello(address string, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	pause := largeRounds * g.options.Period
-	for other, at := range g.greeted {
+	pause := largeRoundFactor * g.options.Period
+	for other, at := range g.recentHellos {
 		if now.Sub(at) >= pause {
-			delete(g.greeted, other)
+			delete(g.recentHellos, other)
 		}
 	}
-	if _, lately := g.greeted[address]; lately || len(g.greeted) >= maxGreeted {
+	if _, lately := g.recentHellos[address]; lately || len(g.recentHellos) >= maxRecentHellos {
 		return false
 	}
-	g.greeted[address] = now
+	g.recentHellos[address] = now
 	return true
 }
 
-// maxGreeted bounds the routers that are greeted in a round, forged senders among them.
-const maxGreeted = 64
+// maxRecentHellos bounds the routers that are greeted in a round, forged senders among them.
+const maxRecentHellos = 64
 
-// ask asks a router for what it knows. Who has not met it says hello.
-func (g *Gossip) ask(address string, hello bool, now time.Time) {
-	d := &gossippb.Digest{AsksOnly: true, Ask: g.noteQuestion(question{address, now, true})}
+// sendQuery asks a router for what it knows. Who has not met it says hello.
+func (g *Gossip) sendQuery(address string, hello bool, now time.Time) {
+	d := &gossippb.Digest{AsksOnly: true, Ask: g.addQuery(query{address, now, true})}
 	if hello {
 		d.Hello, d.DataCentre = true, g.options.DataCentre
 	}
 	g.send(address, encodeDigest(d))
 }
 
-// takeAnswer takes the answer to a question of this router.
-func (g *Gossip) takeAnswer(r *gossippb.Freshness, now time.Time) {
+// handleAnswer takes the answer to a question of this router.
+func (g *Gossip) handleAnswer(r *gossippb.Freshness, now time.Time) {
 	g.mu.Lock()
-	q, found := g.questions[r.Ask]
-	delete(g.questions, r.Ask)
+	q, found := g.queries[r.Ask]
+	delete(g.queries, r.Ask)
 	g.mu.Unlock()
-	if found && g.takeFreshness(q.address, r, q.at, now) && !g.learning.Load() {
-		go g.learn(g.life, q.address)
+	if found && g.applyFreshness(q.address, r, q.at, now) && !g.fetching.Load() {
+		go g.fetchKnowledge(g.ctx, q.address)
 	}
 }
--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -33,16 +33,16 @@
 	return fleet
 }
 
-func TestALargeFleetLearnsFromTheOneThatReads(t *testing.T) {
+func TestLargeFleetLearnsFromSingleReader(t *testing.T) {
 	fleet := largeFleet(t, 2*maxPartners)
 	for _, r := range fleet {
-		until(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
+		waitUntil(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
 	}
 	for i, list := range [][]string{{"a", "b"}, {"b"}} {
 		version, read := uint64(4+i), time.Now()
 		fleet[7].watcher.ApplySnapshot(watch.Snapshot{Config: config(version), Replicas: replicas(list...)}, read)
 		for _, r := range fleet {
-			until(t, func() bool {
+			waitUntil(t, func() bool {
 				table := r.holder.Current().Table
 				return r.balancer.ReadyCount("s") == len(list) && table != nil && table.Version() == version
 			})
@@ -53,15 +53,15 @@
 }
 
 // Each is told what all others run: by those of its line, and by one of each other line.
-func TestALargeFleetKnowsWhatAllRun(t *testing.T) {
+func TestLargeFleetKnowsCountsOfAll(t *testing.T) {
 	fleet := largeFleet(t, 2*maxPartners)
 	for _, r := range fleet {
-		until(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
+		waitUntil(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 		r.balancer.RequestStarted("a")
 	}
 	for _, r := range fleet {
-		until(t, func() bool {
+		waitUntil(t, func() bool {
 			choice, found := r.balancer.Pick(balance.Request{Service: "s", Tried: []string{"b"}}, time.Now())
 			return found && choice.Load == float64(len(fleet))
 		})
@@ -69,10 +69,10 @@
 }
 
 // Each is told by some, and tells some.
-func TestARumorComesToAllOfALargeFleet(t *testing.T) {
+func TestRumorReachesLargeFleet(t *testing.T) {
 	fleet := largeFleet(t, 2*maxPartners)
 	for _, r := range fleet {
-		until(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
+		waitUntil(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 	}
 	for _, r := range fleet {
@@ -81,31 +81,31 @@
 	holding := balance.PartHolder{Part: 7, Replica: balance.ReplicaHash("b")}
 	fleet[5].balancer.MergeRumors(balance.Rumors{Holders: []balance.PartHolder{holding}}, time.Now())
 	for _, r := range fleet {
-		until(t, func() bool { return slices.Contains(r.balancer.Holders(time.Now()), holding) })
+		waitUntil(t, func() bool { return slices.Contains(r.balancer.Holders(time.Now()), holding) })
 	}
 }
 
 // What a datagram tells may have been under way for long: it proves nothing.
-func TestWhatIsToldProvesNothing(t *testing.T) {
-	r := newRestingRouter(t, &source{})
+func TestUnsolicitedDigestIsNoProof(t *testing.T) {
+	r := newIdleRouter(t, &source{})
 	read := time.Now().Add(-time.Minute)
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a")}, read)
 	word := r.watcher.Digest()
 	version, mark := word.Version, word.ListHash
 	now, proofMs := time.Now(), uint32(0)
 	told := &gossippb.Digest{Sender: "127.0.0.1:9", DataCentre: "there", Version: version, Mark: mark, ProofMs: &proofMs}
-	r.gossip.takeTold(told, now)
+	r.gossip.handleDigest(told, now)
 	assert.Equal(t, read, r.holder.Current().ProvenAt)
-	require.Len(t, r.gossip.questions, 1, "it asks")
+	require.Len(t, r.gossip.queries, 1, "it asks")
 	asked := now.Add(-50 * time.Millisecond)
-	for number := range r.gossip.questions {
-		r.gossip.takeAnswer(&gossippb.Freshness{Ask: number + 1, Version: version, Mark: mark, ProofMs: &proofMs}, now)
+	for number := range r.gossip.queries {
+		r.gossip.handleAnswer(&gossippb.Freshness{Ask: number + 1, Version: version, Mark: mark, ProofMs: &proofMs}, now)
 		assert.Equal(t, read, r.holder.Current().ProvenAt, "an answer to nothing")
-		r.gossip.questions[number] = question{address: told.Sender, at: asked}
-		r.gossip.takeAnswer(&gossippb.Freshness{Ask: number, Version: version, Mark: mark, ProofMs: &proofMs}, now)
+		r.gossip.queries[number] = query{address: told.Sender, at: asked}
+		r.gossip.handleAnswer(&gossippb.Freshness{Ask: number, Version: version, Mark: mark, ProofMs: &proofMs}, now)
 	}
 	assert.Equal(t, asked, r.holder.Current().ProvenAt, "from when it was asked")
-	assert.Empty(t, r.gossip.questions)
+	assert.Empty(t, r.gossip.queries)
 }
 
 // All partners tell of the same news within a round.
@@ -115,18 +115,18 @@
 		age     time.Duration
 		asked   int
 	}{
-		"a newer version":            {version: 5, age: time.Hour, asked: maxAsked},
-		"a newer proof":              {version: 4, age: 0, asked: maxAsked},
+		"a newer version":            {version: 5, age: time.Hour, asked: maxNewsQueries},
+		"a newer proof":              {version: 4, age: 0, asked: maxNewsQueries},
 		"hardly a newer proof":       {version: 4, age: time.Minute - 100*time.Millisecond, asked: 0},
 		"an older version":           {version: 3, age: 0, asked: 0},
 		"an older proof of the same": {version: 4, age: time.Hour, asked: 0},
 		"another list that is older": {version: 4, age: time.Hour, asked: 0},
-		"another list that is newer": {version: 4, age: 0, asked: maxAsked},
+		"another list that is newer": {version: 4, age: 0, asked: maxNewsQueries},
 		"somebody who knows nothing": {version: 0, age: -1, asked: 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := newRestingRouter(t, &source{})
+			r := newIdleRouter(t, &source{})
 			r.gossip.SetHoldersKnown()
 			now := time.Now()
 			r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a")}, now.Add(-time.Minute))
@@ -139,62 +139,62 @@
 				if age := uint32(c.age.Milliseconds()); c.age >= 0 {
 					told.ProofMs = &age
 				}
-				r.gossip.takeTold(told, now)
+				r.gossip.handleDigest(told, now)
 			}
-			assert.Len(t, r.gossip.questions, c.asked)
+			assert.Len(t, r.gossip.queries, c.asked)
 		})
 	}
 }
 
 func TestWhoDoesNotAnswerIsAskedAgainAndForgotten(t *testing.T) {
-	r := newRestingRouter(t, &source{})
+	r := newIdleRouter(t, &source{})
 	now := time.Now()
-	for range maxAsked {
-		r.gossip.ask("127.0.0.1:1", false, now)
-	}
-	assert.False(t, r.gossip.mayAsk("127.0.0.1:1", now), "it is asked")
-	assert.False(t, r.gossip.mayAsk("127.0.0.1:2", now), "so many are asked")
-	assert.True(t, r.gossip.mayAsk("127.0.0.1:1", now.Add(askAgain)))
-	r.gossip.dropQuestions(now.Add(answerTime + 1))
-	assert.Empty(t, r.gossip.questions)
+	for range maxNewsQueries {
+		r.gossip.sendQuery("127.0.0.1:1", false, now)
+	}
+	assert.False(t, r.gossip.mayQuery("127.0.0.1:1", now), "it is asked")
+	assert.False(t, r.gossip.mayQuery("127.0.0.1:2", now), "so many are asked")
+	assert.True(t, r.gossip.mayQuery("127.0.0.1:1", now.Add(queryRetry)))
+	r.gossip.expireQueries(now.Add(answerTimeout + 1))
+	assert.Empty(t, r.gossip.queries)
 }
 
 func TestEachPartnerIsAskedInTurn(t *testing.T) {
-	r := newRestingRouter(t, &source{})
-	first, asks := r.gossip.turn(5)
+	r := newIdleRouter(t, &source{})
+	first, asks := r.gossip.nextQueried(5)
 	assert.Equal(t, []int{0, 5}, []int{first, asks}, "a fleet in which few are heard")
-	for i := range askAll {
+	for i := range queryAllLimit {
 		r.gossip.members.RecordHeartbeat(fmt.Sprintf("127.0.0.1:%d", i+1), time.Now())
 	}
 	asked := make(map[int]int)
 	for range 33 {
-		first, asks := r.gossip.turn(33)
+		first, asks := r.gossip.nextQueried(33)
 		for i := range asks {
 			asked[(first+i)%33]++
 		}
 	}
 	for i := range 33 {
-		assert.Equal(t, asksARound, asked[i], i)
+		assert.Equal(t, queriesPerRound, asked[i], i)
 	}
-	_, asks = r.gossip.turn(0)
+	_, asks = r.gossip.nextQueried(0)
 	assert.Zero(t, asks)
 }
 
 // What is no datagram of a router, or asks for nothing, changes nothing.
 func TestDamagedDatagramsChangeNothing(t *testing.T) {
-	r := newRestingRouter(t, &source{})
+	r := newIdleRouter(t, &source{})
 	from := netip.MustParseAddrPort("127.0.0.1:9")
 	whole := encodeDigest(&gossippb.Digest{Alive: []byte{1, 2}, Member: []string{"127.0.0.1:8"}})
 	for _, packet := range [][]byte{nil, []byte("GET / HTTP/1.1"), whole[:len(whole)-1]} {
-		r.gossip.takeDatagram(from, packet)
+		r.gossip.handleDatagram(from, packet)
 		assert.Equal(t, 1, r.gossip.MemberCount())
 	}
-	r.gossip.takeDatagram(from, whole)
+	r.gossip.handleDatagram(from, whole)
 	assert.Equal(t, 2, r.gossip.MemberCount(), "its sender is where it came from; a row without an age is none")
 }
 
 func TestWhatCanNotBeSentIsCounted(t *testing.T) {
-	r := newRestingRouter(t, &source{})
+	r := newIdleRouter(t, &source{})
 	r.gossip.send("127.0.0.1:9", make([]byte, peer.MaxDatagram+1))
 	r.gossip.send("router-1:7000", []byte("x"))
 	assert.EqualValues(t, 2, r.gossip.UnsentDatagrams())
@@ -202,13 +202,13 @@
 
 // A change is not kept until the next round.
 func TestNewsIsToldAtOnce(t *testing.T) {
-	teller, told := newRestingRouter(t, &source{}), newRestingRouter(t, &source{err: errors.New("turned away")})
+	teller, told := newIdleRouter(t, &source{}), newIdleRouter(t, &source{err: errors.New("turned away")})
 	for i := range maxPartners + 1 {
 		teller.gossip.members.RecordHeartbeat(fmt.Sprintf("127.0.0.1:%d", i+1), time.Now())
 	}
 	teller.gossip.partners.RelayTo = []string{told.gossip.Address()}
 	teller.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a")}, time.Now())
-	teller.gossip.tellNews(time.Now())
-	until(t, told.watcher.Initialized)
+	teller.gossip.sendNews(time.Now())
+	waitUntil(t, told.watcher.Initialized)
 	assert.Zero(t, told.source.reads)
 }
--- a/internal/gossip/corpus_test.go
+++ b/internal/gossip/corpus_test.go
@@ -18,7 +18,7 @@
 
 // Messages in testdata were written by the builds whose folders they are in, each folder
 // once and never again: routers of those builds may run beside any later one.
-func corpus(t *testing.T, build, name string, into proto.Message) {
+func readMessage(t *testing.T, build, name string, into proto.Message) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", build, name))
 	require.NoError(t, err)
@@ -39,10 +39,10 @@
 	} {
 		t.Run(build, func(t *testing.T) {
 			var d, a gossippb.Datagram
-			corpus(t, build, "datagram", &d)
+			readMessage(t, build, "datagram", &d)
 			word := watch.Digest{Version: 12, ListHash: 99, Generation: want.generation, FactsHash: d.Digest.GetFacts()}
-			assert.Equal(t, word, wordOf(d.Digest))
-			told := decode(d.Digest, steady.Now())
+			assert.Equal(t, word, digestOf(d.Digest))
+			told := decodeDigest(d.Digest, steady.Now())
 			assert.Len(t, told.Running, 2)
 			assert.Len(t, told.Failures, 1)
 			assert.Len(t, told.Hot, 1)
@@ -50,17 +50,17 @@
 			assert.Len(t, decodeRows(d.Digest.Member, d.Digest.HeardMs), 1)
 			assert.EqualValues(t, 700, d.Digest.GetProofMs())
 
-			corpus(t, build, "answer", &a)
+			readMessage(t, build, "answer", &a)
 			assert.EqualValues(t, 3, a.Answer.Ask)
-			assert.Equal(t, want.generation, wordOf(a.Answer).Generation)
+			assert.Equal(t, want.generation, digestOf(a.Answer).Generation)
 
 			var request gossippb.KnowledgeRequest
-			corpus(t, build, "request", &request)
+			readMessage(t, build, "request", &request)
 			assert.Len(t, request.Sums, 16)
 			assert.True(t, request.Holders)
 
 			var reply, excerpt gossippb.KnowledgeReply
-			corpus(t, build, "reply", &reply)
+			readMessage(t, build, "reply", &reply)
 			k, err := decodeKnowledge(&reply, watch.KnowledgeRequest{})
 			require.NoError(t, err)
 			require.NotNil(t, k.Config)
@@ -71,7 +71,7 @@
 			assert.Equal(t, directory.Draining, k.Listing.Replicas[1].State)
 			assert.Equal(t, want.born, k.Listing.Replicas[0].Born)
 
-			corpus(t, build, "excerpt", &excerpt)
+			readMessage(t, build, "excerpt", &excerpt)
 			k, err = decodeKnowledge(&excerpt, watch.KnowledgeRequest{PartHashes: make([]uint32, 16)})
 			require.NoError(t, err)
 			assert.Equal(t, []uint32{2, 5}, k.Excerpt.DifferingParts)
--- a/internal/gossip/excerpt_test.go
+++ b/internal/gossip/excerpt_test.go
@@ -17,7 +17,7 @@
 func TestAChangeOfALargeListCostsLittleToTell(t *testing.T) {
 	const replicas, changed, mostBytes = 3000, 10, 5000
 	list, read := benchListing(replicas), time.Now().Add(-time.Minute)
-	teacher, learner := newRestingRouter(t, &source{}), newRestingRouter(t, &source{})
+	teacher, learner := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
 	for _, r := range []*router{teacher, learner} {
 		r.gossip.SetHoldersKnown()
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: list.Replicas}, read)
@@ -28,7 +28,7 @@
 	}
 	teacher.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: after}, read.Add(time.Second))
 	sent, received := learner.gossip.Bytes()
-	learner.gossip.learn(t.Context(), teacher.gossip.Address())
+	learner.gossip.fetchKnowledge(t.Context(), teacher.gossip.Address())
 	mark := teacher.watcher.Digest().ListHash
 	learned := learner.watcher.Digest().ListHash
 	require.Equal(t, mark, learned)
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -33,38 +33,38 @@
 		return
 	}
 	g.meter.Called(digest, reply)
-	if g.takeFreshness(address, reply, asked, steady.Now()) {
-		g.learn(ctx, address)
+	if g.applyFreshness(address, reply, asked, steady.Now()) {
+		g.fetchKnowledge(ctx, address)
 	}
 }
 
-// takeFreshness takes what a router that was asked at a time knows, and tells whether
+// applyFreshness takes what a router that was asked at a time knows, and tells whether
 // that is to be learned.
-func (g *Gossip) takeFreshness(address string, r *gossippb.Freshness, asked, now time.Time) bool {
+func (g *Gossip) applyFreshness(address string, r *gossippb.Freshness, asked, now time.Time) bool {
 	if r.Stopping {
-		g.left(address, now)
+		g.recordLeave(address, now)
 	} else {
 		g.mu.Lock()
-		regular := g.asksAll()
+		regular := g.queriesAll()
 		g.mu.Unlock()
-		g.heard(address, r.DataCentre, regular, now)
+		g.recordMessage(address, r.DataCentre, regular, now)
 	}
 	g.mu.Lock()
 	g.members.Merge(decodeRows(r.Member, r.HeardMs), now)
 	g.mu.Unlock()
-	g.takeMarks(r.Marks, now)
+	g.mergeMarks(r.Marks, now)
 	if r.ProofMs == nil {
 		return false
 	}
 	proven := asked.Add(-milliseconds(r.GetProofMs()))
 	// Whether the source answers somebody goes by the youngest that the proof may be.
 	g.watcher.ObservePeerProof(asked, now.Add(-milliseconds(r.GetProofMs())))
-	newer := g.watcher.ApplyPeerProof(wordOf(r), proven)
-	return newer || !g.recalled.Load()
+	newer := g.watcher.ApplyPeerProof(digestOf(r), proven)
+	return newer || !g.holdersKnown.Load()
 }
 
-// heard notes that a member spoke, regularly if it does so in each round.
-func (g *Gossip) heard(address, dataCentre string, regularly bool, now time.Time) {
+// recordMessage notes that a member spoke, regularly if it does so in each round.
+func (g *Gossip) recordMessage(address, dataCentre string, regularly bool, now time.Time) {
 	g.mu.Lock()
 	note := g.members.RecordContact
 	if regularly {
@@ -84,8 +84,8 @@
 	}
 }
 
-// left notes that a member said that it stops.
-func (g *Gossip) left(address string, now time.Time) {
+// recordLeave notes that a member said that it stops.
+func (g *Gossip) recordLeave(address string, now time.Time) {
 	g.mu.Lock()
 	g.members.RecordLeave(address, now)
 	g.mu.Unlock()
@@ -93,18 +93,18 @@
 	g.balancer.RemovePeer(address)
 }
 
-// learn takes the knowledge of another router, of one at a time: when something
+// fetchKnowledge takes the knowledge of another router, of one at a time: when something
 // is new, many have it.
-func (g *Gossip) learn(ctx context.Context, address string) {
-	if !g.learning.CompareAndSwap(false, true) {
+func (g *Gossip) fetchKnowledge(ctx context.Context, address string) {
+	if !g.fetching.CompareAndSwap(false, true) {
 		return
 	}
-	defer g.learning.Store(false)
+	defer g.fetching.Store(false)
 	asked := steady.Now()
 	have := g.watcher.KnowledgeRequest()
-	request := &gossippb.KnowledgeRequest{Version: have.Version, Mark: have.ListHash, Facts: have.FactsHash, Sums: have.PartHashes, Holders: !g.recalled.Load()}
+	request := &gossippb.KnowledgeRequest{Version: have.Version, Mark: have.ListHash, Facts: have.FactsHash, Sums: have.PartHashes, Holders: !g.holdersKnown.Load()}
 	var reply *gossippb.KnowledgeReply
-	err := g.client.Control(ctx, address, peer.Bound{Call: learnTimeout}, func(ctx context.Context, conn drpc.Conn) (err error) {
+	err := g.client.Control(ctx, address, peer.Bound{Call: knowledgeTimeout}, func(ctx context.Context, conn drpc.Conn) (err error) {
 		reply, err = gossippb.NewDRPCGossipClient(conn).Knowledge(ctx, request)
 		return err
 	})
@@ -120,7 +120,7 @@
 	g.watcher.ApplyKnowledge(knowledge, asked, asked.Add(-milliseconds(reply.GetProofMs())), address)
 	if len(reply.Part) > 0 && g.watcher.Initialized() {
 		g.balancer.MergeHolders(decodeHolders(reply.Part, reply.Holder), steady.Now())
-		g.recalled.Store(true)
+		g.holdersKnown.Store(true)
 	}
 }
 
--- a/internal/gossip/fleet_bench_test.go
+++ b/internal/gossip/fleet_bench_test.go
@@ -55,14 +55,14 @@
 	}
 	reader := fleet[routers/2]
 	done.Go(func() { readEachSecond(ctx, reader) })
-	started := processorTime(b)
+	started := cpuTime(b)
 	time.Sleep(benchSettle)
-	used, bytes := processorTime(b), sentBytes(fleet)
+	used, bytes := cpuTime(b), sentBytes(fleet)
 	b.ReportMetric(float64(used-started)/1e6/float64(routers), "start-cpu-ms/router")
 	b.ReportMetric(float64(bytes)/float64(routers), "start-B-sent/router")
 	time.Sleep(benchTime)
 	perRouter := 1 / (benchTime.Seconds() * float64(routers))
-	b.ReportMetric(float64(processorTime(b)-used)/1e6*perRouter, "cpu-ms/router/s")
+	b.ReportMetric(float64(cpuTime(b)-used)/1e6*perRouter, "cpu-ms/router/s")
 	b.ReportMetric(float64(sentBytes(fleet)-bytes)*perRouter, "B-sent/router/s")
 	known, oldest := 0, time.Duration(0)
 	for _, r := range fleet {
@@ -105,8 +105,8 @@
 	}
 }
 
-// processorTime is what this process has used, in nanoseconds.
-func processorTime(b *testing.B) int64 {
+// cpuTime is what this process has used, in nanoseconds.
+func cpuTime(b *testing.B) int64 {
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return u.Utime.Nano() + u.Stime.Nano()
--- a/internal/gossip/forms.go
+++ b/internal/gossip/forms.go
@@ -10,8 +10,8 @@
 // entry names the same list by another mark. Told in its own form it sees that it has the
 // same; else it would take the whole list with each new proof.
 
-// noteForm notes in which form a router names lists.
-func (g *Gossip) noteForm(d *gossippb.Digest) {
+// recordForm notes in which form a router names lists.
+func (g *Gossip) recordForm(d *gossippb.Digest) {
 	if d.ProofMs == nil {
 		return
 	}
@@ -35,8 +35,8 @@
 	delete(g.plain, address)
 }
 
-// speaksPlain tells whether a router names lists as older builds do.
-func (g *Gossip) speaksPlain(address string) bool {
+// usesPlainForm tells whether a router names lists as older builds do.
+func (g *Gossip) usesPlainForm(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.plain[address]
@@ -50,8 +50,8 @@
 	return len(g.plain)
 }
 
-// inPlain returns a digest as older builds understand it.
-func (g *Gossip) inPlain(d *gossippb.Digest) *gossippb.Digest {
+// inPlainForm returns a digest as older builds understand it.
+func (g *Gossip) inPlainForm(d *gossippb.Digest) *gossippb.Digest {
 	if d == nil || d.ProofMs == nil {
 		return d
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -55,18 +55,18 @@
 	maxRows = 16
 	// helloRounds is after how many rounds members are told again.
 	helloRounds = 8
-	// largeRounds is how many rounds of a small fleet make one of a large one, in
+	// largeRoundFactor is how many rounds of a small fleet make one of a large one, in
 	// which a router has more partners and tells them of its line. While many replicas
 	// are idle each round is one: the others are nearer to the bound then, and what is
 	// counted late piles up beyond it.
-	largeRounds = 2
+	largeRoundFactor = 2
 	// largeHelloRounds is helloRounds of a large fleet, where members that are new and
 	// those that live are told besides.
 	largeHelloRounds = 8
 	// callTimeout bounds an exchange, and learnTimeout the taking of another
 	// router's knowledge, which may be large and come over a narrow link.
-	callTimeout  = 500 * time.Millisecond
-	learnTimeout = time.Second
+	callTimeout      = 500 * time.Millisecond
+	knowledgeTimeout = time.Second
 	// keptTimeout is for how long a kept connection may leave an exchange without an
 	// answer: routers answer in some ms, and in half a round the call on a new one
 	// still ends before the next round begins, so that none is lost. The taking of
@@ -89,13 +89,13 @@
 	datagrams *peer.Datagrams
 	unsent    atomic.Uint64
 
-	// recalled: the holders of parts are known, from a peer or from the engines.
-	recalled atomic.Bool
-	// learning: another router is being asked for its knowledge.
-	learning atomic.Bool
-	// teaching bounds what is passed on; refused counts who was not answered for it.
-	teaching teaching
-	refused  atomic.Uint64
+	// holdersKnown: the holders of parts are known, from a peer or from the engines.
+	holdersKnown atomic.Bool
+	// fetching: another router is being asked for its knowledge.
+	fetching atomic.Bool
+	// budget bounds what is passed on; refused counts who was not answered for it.
+	budget  sendBudget
+	refused atomic.Uint64
 	// config and listing are what was passed on last.
 	config  atomic.Pointer[packed[uint64]]
 	listing atomic.Pointer[packed[listKey]]
@@ -105,26 +105,26 @@
 	// partners are those of the last round.
 	partners membership.Partners
 	busy     map[string]bool
-	// missed are the rumors for partners that were busy.
-	missed map[string]*gossippb.Digest
+	// deferred are the rumors for partners that were busy.
+	deferred map[string]*gossippb.Digest
 	// plain are the members that name lists as older builds do.
 	plain map[string]bool
 	// centres are the members' data centres, as they told.
 	centres map[string]string
-	// routersAt is the count of changes of the members that the balancer was told of.
-	routersAt uint64
-	round     int
-	hellos    int
-	stopped   bool
-	// questions are those that were not answered, by number; turns counts the partners
+	// announcedChanges is the count of changes of the members that the balancer was told of.
+	announcedChanges uint64
+	round            int
+	hellos           int
+	stopped          bool
+	// queries are those that were not answered, by number; turns counts the partners
 	// that were asked in turn.
-	questions    map[uint32]question
-	lastQuestion uint32
-	turns        int
-	// greeted are the routers that were asked lately of which data centre they are.
-	greeted map[string]time.Time
-	// life ends with the gossip.
-	life   context.Context
+	queries     map[uint32]query
+	lastQuery   uint32
+	queryOffset int
+	// recentHellos are the routers that were asked lately of which data centre they are.
+	recentHellos map[string]time.Time
+	// ctx ends with the gossip.
+	ctx    context.Context
 	cancel context.CancelFunc
 }
 
@@ -135,21 +135,21 @@
 	}
 	meter := &peer.Meter{}
 	g := &Gossip{
-		options:   o,
-		log:       log,
-		watcher:   f,
-		balancer:  b,
-		poison:    o.Poison,
-		meter:     meter,
-		client:    peer.NewClient(meter),
-		busy:      make(map[string]bool),
-		missed:    make(map[string]*gossippb.Digest),
-		centres:   make(map[string]string),
-		plain:     make(map[string]bool),
-		questions: make(map[uint32]question),
-		greeted:   make(map[string]time.Time),
+		options:      o,
+		log:          log,
+		watcher:      f,
+		balancer:     b,
+		poison:       o.Poison,
+		meter:        meter,
+		client:       peer.NewClient(meter),
+		busy:         make(map[string]bool),
+		deferred:     make(map[string]*gossippb.Digest),
+		centres:      make(map[string]string),
+		plain:        make(map[string]bool),
+		queries:      make(map[uint32]query),
+		recentHellos: make(map[string]time.Time),
 	}
-	g.life, g.cancel = context.WithCancel(context.Background())
+	g.ctx, g.cancel = context.WithCancel(context.Background())
 	err := g.listen()
 	for attempt := 1; err != nil && strings.HasSuffix(o.Address, ":0") && attempt < portAttempts; attempt++ {
 		err = g.listen()
@@ -180,7 +180,7 @@
 	}
 	g.server = server
 	g.members = membership.New(server.Address(), g.options.Seeds, maxPartners)
-	g.datagrams, err = peer.ListenDatagrams(server.Address(), g.meter, g.takeDatagram)
+	g.datagrams, err = peer.ListenDatagrams(server.Address(), g.meter, g.handleDatagram)
 	g.mu.Unlock()
 	if err != nil {
 		server.Close()
@@ -199,10 +199,10 @@
 }
 
 // HoldersKnown tells whether it is known who holds which parts.
-func (g *Gossip) HoldersKnown() bool { return g.recalled.Load() }
+func (g *Gossip) HoldersKnown() bool { return g.holdersKnown.Load() }
 
 // SetHoldersKnown notes that the engines were asked, so that no peer has to be.
-func (g *Gossip) SetHoldersKnown() { g.recalled.Store(true) }
+func (g *Gossip) SetHoldersKnown() { g.holdersKnown.Store(true) }
 
 // OwnsTask tells whether, of the routers known, this one is to do a task: each task
 // is one router's, as long as all know the same routers.
@@ -226,9 +226,9 @@
 func (g *Gossip) Run(ctx context.Context) {
 	round := time.NewTicker(g.options.Period)
 	defer round.Stop()
-	look := time.NewTicker(g.options.Period / silenceLooks)
+	look := time.NewTicker(g.options.Period / silenceChecks)
 	defer look.Stop()
-	g.tick(ctx)
+	g.runRound(ctx)
 	var told, marked <-chan time.Time
 	for {
 		news, _ := g.watcher.Updates()
@@ -240,21 +240,21 @@
 			g.stop()
 			return
 		case <-news:
-			told = time.After(newsPause)
+			told = time.After(newsDelay)
 		case <-told:
 			told = nil
-			g.tellNews(steady.Now())
+			g.sendNews(steady.Now())
 		case <-g.poison.Updates():
 			if marked == nil {
-				marked = time.After(marksPause)
+				marked = time.After(marksDelay)
 			}
 		case <-marked:
 			marked = nil
-			g.tellMarks(ctx, steady.Now())
+			g.sendMarks(ctx, steady.Now())
 		case <-round.C:
-			g.tick(ctx)
+			g.runRound(ctx)
 		case <-look.C:
-			g.noteSilence(steady.Now())
+			g.reportSilentCentres(steady.Now())
 		}
 	}
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -56,7 +56,7 @@
 
 func newRouter(t *testing.T, s *source, seeds ...string) *router {
 	t.Helper()
-	r := newRestingRouter(t, s, seeds...)
+	r := newIdleRouter(t, s, seeds...)
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { r.gossip.Run(ctx) })
@@ -77,11 +77,11 @@
 		return int(r.gossip.round)
 	}
 	begun := round()
-	until(t, func() bool { return round() >= begun+2 })
+	waitUntil(t, func() bool { return round() >= begun+2 })
 }
 
-// newRestingRouter answers others but makes no rounds by itself.
-func newRestingRouter(t *testing.T, s *source, seeds ...string) *router {
+// newIdleRouter answers others but makes no rounds by itself.
+func newIdleRouter(t *testing.T, s *source, seeds ...string) *router {
 	t.Helper()
 	r := &router{holder: freshness.NewHolder(), balancer: balance.New(1), source: s}
 	r.watcher = watch.New(s, watch.Options{Period: time.Hour, Timeout: time.Second}, directory.New(time.Hour, time.Hour), r.holder, r.balancer, event.Discard())
@@ -104,8 +104,8 @@
 	return list
 }
 
-// until waits for a condition; the test's own limit ends a wait in vain.
-func until(t *testing.T, condition func() bool) {
+// waitUntil waits for a condition; the test's own limit ends a wait in vain.
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	for !condition() {
 		time.Sleep(time.Millisecond)
@@ -124,7 +124,7 @@
 		called := make(chan struct{})
 		go func() {
 			defer close(called)
-			until(t, func() bool {
+			waitUntil(t, func() bool {
 				return client.Control(t.Context(), address, peer.Bound{Call: time.Minute}, func(ctx context.Context, conn drpc.Conn) error {
 					_, err := gossippb.NewDRPCGossipClient(conn).Exchange(ctx, &gossippb.Digest{Sender: "127.0.0.2:1"})
 					return err
@@ -148,17 +148,17 @@
 	read := time.Now()
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a", "b")}, read)
 	for _, r := range []*router{second, third} {
-		until(t, r.watcher.Initialized)
+		waitUntil(t, r.watcher.Initialized)
 		assert.EqualValues(t, 4, r.holder.Current().Table.Version())
-		until(t, func() bool { return r.balancer.ReadyCount("s") == 2 })
+		waitUntil(t, func() bool { return r.balancer.ReadyCount("s") == 2 })
 		assert.False(t, r.holder.Current().ProvenAt.After(read), "a proof gains nothing on its way")
 		assert.Zero(t, r.source.reads)
 	}
-	until(t, func() bool { return first.gossip.MemberCount() == 3 && third.gossip.MemberCount() == 3 })
+	waitUntil(t, func() bool { return first.gossip.MemberCount() == 3 && third.gossip.MemberCount() == 3 })
 
 	later := time.Now()
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(5), Replicas: replicas("b")}, later)
-	until(t, func() bool { return third.holder.Current().Table.Version() == 5 && third.balancer.ReadyCount("s") == 1 })
+	waitUntil(t, func() bool { return third.holder.Current().Table.Version() == 5 && third.balancer.ReadyCount("s") == 1 })
 	assert.False(t, third.holder.Current().ProvenAt.After(later))
 }
 
@@ -169,10 +169,10 @@
 	second := newRouter(t, &source{err: errors.New("turned away")}, first.gossip.Address())
 	third := newRouter(t, &source{err: errors.New("turned away")}, second.gossip.Address())
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list}, time.Now())
-	until(t, func() bool { return third.balancer.ReadyCount("s") == 2 })
+	waitUntil(t, func() bool { return third.balancer.ReadyCount("s") == 2 })
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list, Evacuated: []string{"north"}}, time.Now())
 	for _, r := range []*router{second, third} {
-		until(t, func() bool { return r.balancer.ReadyCount("s") == 1 })
+		waitUntil(t, func() bool { return r.balancer.ReadyCount("s") == 1 })
 		assert.Zero(t, r.source.reads)
 	}
 }
@@ -183,7 +183,7 @@
 	list := replicas("a")
 	list[0].Cold, list[0].ColdLeft = true, time.Hour
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list}, time.Now())
-	until(t, func() bool {
+	waitUntil(t, func() bool {
 		// Long after the start, but long before it is warm.
 		_, found := r.balancer.Pick(balance.Request{Service: "s", ColdRate: 1}, time.Now().Add(time.Minute))
 		return found
@@ -196,7 +196,7 @@
 	r := newRouter(t, &source{}, old.gossip.Address())
 	proven := time.Now()
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(8), Replicas: replicas("a")}, proven)
-	until(t, func() bool { return old.holder.Current().Table.Version() == 8 })
+	waitUntil(t, func() bool { return old.holder.Current().Table.Version() == 8 })
 	assert.EqualValues(t, 8, r.holder.Current().Table.Version())
 	assert.Equal(t, "a", r.watcher.Replicas()[0].ID)
 }
@@ -207,18 +207,18 @@
 	for _, r := range []*router{first, second} {
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 	}
-	until(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
+	waitUntil(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
 	first.balancer.RequestFailed("a", balance.Refused, "", time.Now())
-	until(t, func() bool { return second.balancer.Suspected("a", time.Now()) })
+	waitUntil(t, func() bool { return second.balancer.Suspected("a", time.Now()) })
 	assert.False(t, second.balancer.Suspected("b", time.Now()))
 }
 
 func TestWhoLeavesIsForgottenAtOnce(t *testing.T) {
 	first := newRouter(t, &source{})
 	second := newRouter(t, &source{}, first.gossip.Address())
-	until(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
+	waitUntil(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
 	second.gossip.Leave()
-	until(t, func() bool { return first.gossip.MemberCount() == 1 })
+	waitUntil(t, func() bool { return first.gossip.MemberCount() == 1 })
 	// Whoever asks it is told as well, so that it is not taken for back.
 	first.gossip.exchange(context.Background(), second.gossip.Address(), &gossippb.Digest{Sender: first.gossip.Address()})
 	assert.Equal(t, 1, first.gossip.MemberCount())
@@ -226,7 +226,7 @@
 
 func TestDamagedDigestsAreReadAsFarAsTheyGo(t *testing.T) {
 	now := time.Now()
-	told := decode(&gossippb.Digest{Replica: []uint32{1, 2}, Running: []uint32{3}, Failed: []uint32{1}, Failure: []uint32{2}, Part: []uint64{1}}, now)
+	told := decodeDigest(&gossippb.Digest{Replica: []uint32{1, 2}, Running: []uint32{3}, Failed: []uint32{1}, Failure: []uint32{2}, Part: []uint64{1}}, now)
 	assert.Equal(t, balance.PeerUpdate{Running: []balance.ReplicaCount{{Replica: 1, Running: 3}}}, told)
 	assert.Empty(t, decodeRows([]string{"a"}, nil))
 	assert.Equal(t, []uint16{0x0201}, decodeSingles([]byte{1, 2, 3}))
@@ -256,10 +256,10 @@
 	first.balancer.PartsReported("a", parts, time.Now())
 	second := newRouter(t, &source{}, first.gossip.Address())
 	second.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
-	until(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
+	waitUntil(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
 	assert.False(t, second.gossip.HoldersKnown(), "the first one knows no more than it happened to see")
 	first.gossip.SetHoldersKnown()
-	until(t, second.gossip.HoldersKnown)
+	waitUntil(t, second.gossip.HoldersKnown)
 	assert.Len(t, second.balancer.Holders(time.Now()), 2)
 }
 
@@ -287,19 +287,19 @@
 // taken for age.
 func TestAnotherRoutersWordIsNotMadeOlderByItsWay(t *testing.T) {
 	const age, limit = 55 * time.Minute, time.Hour
-	first := newRestingRouter(t, &source{})
+	first := newIdleRouter(t, &source{})
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(1)}, time.Now().Add(-age))
-	second := newRestingRouter(t, &source{err: errors.New("down")})
+	second := newIdleRouter(t, &source{err: errors.New("down")})
 	second.watcher.ApplySnapshot(watch.Snapshot{Config: config(1)}, time.Now().Add(-limit))
 	require.Error(t, second.watcher.RefreshList(t.Context(), time.Now()))
-	second.gossip.exchange(t.Context(), slowWay(t, first.gossip.Address()), &gossippb.Digest{Sender: second.gossip.Address()})
+	second.gossip.exchange(t.Context(), startSlowRelay(t, first.gossip.Address()), &gossippb.Digest{Sender: second.gossip.Address()})
 	// At this moment the proof is just young enough; counted from the asking it is not.
 	now := first.holder.Current().ProvenAt.Add(limit - 2*time.Millisecond)
 	assert.False(t, second.watcher.StoreUnavailable(limit, now), "another router was answered within the limit")
 }
 
-// slowWay passes on what comes to it, a while later, and what comes back at once.
-func slowWay(t *testing.T, to string) string {
+// startSlowRelay passes on what comes to it, a while later, and what comes back at once.
+func startSlowRelay(t *testing.T, to string) string {
 	t.Helper()
 	const delay = 50 * time.Millisecond
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gossip/greet_test.go
+++ b/internal/gossip/greet_test.go
@@ -12,10 +12,10 @@
 	"github.com/croftyard/croftyard/internal/gossip/gossippb"
 )
 
-// newSlowRouter returns a resting router whose rounds are an hour apart.
-func newSlowRouter(t *testing.T) *router {
+// newHourlyRouter returns a resting router whose rounds are an hour apart.
+func newHourlyRouter(t *testing.T) *router {
 	t.Helper()
-	r := newRestingRouter(t, &source{})
+	r := newIdleRouter(t, &source{})
 	slow, err := Start(Options{Address: "127.0.0.1:0", Period: time.Hour}, r.watcher, r.balancer, event.Discard())
 	require.NoError(t, err)
 	t.Cleanup(slow.stop)
@@ -25,7 +25,7 @@
 
 // Two routers that name no data centre asked each other as fast as the network went.
 func TestADatagramCausesNoStreamOfDatagrams(t *testing.T) {
-	first, second := newSlowRouter(t), newSlowRouter(t)
+	first, second := newHourlyRouter(t), newHourlyRouter(t)
 	to, err := netip.ParseAddrPort(second.gossip.Address())
 	require.NoError(t, err)
 	const told = 50
@@ -35,9 +35,9 @@
 	questions := func(r *router) int {
 		r.gossip.mu.Lock()
 		defer r.gossip.mu.Unlock()
-		return int(r.gossip.lastQuestion)
+		return int(r.gossip.lastQuery)
 	}
-	until(t, func() bool { return questions(second) > 0 && questions(first) > 0 })
+	waitUntil(t, func() bool { return questions(second) > 0 && questions(first) > 0 })
 	// All that one causes follows within milliseconds; without a bound it is some 10,000.
 	time.Sleep(100 * time.Millisecond)
 	assert.Equal(t, 1, questions(second))
@@ -45,8 +45,8 @@
 }
 
 func TestADatagramNamesNoOtherSender(t *testing.T) {
-	first, second, victim := newRestingRouter(t, &source{}), newRestingRouter(t, &source{}), newRestingRouter(t, &source{})
-	first.gossip.takeDatagram(netip.MustParseAddrPort(second.gossip.Address()),
+	first, second, victim := newIdleRouter(t, &source{}), newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
+	first.gossip.handleDatagram(netip.MustParseAddrPort(second.gossip.Address()),
 		encodeDigest(&gossippb.Digest{AsksOnly: true, Sender: victim.gossip.Address(), Ask: 7, Hello: true}))
 	first.gossip.mu.Lock()
 	defer first.gossip.mu.Unlock()
--- a/internal/gossip/life_test.go
+++ b/internal/gossip/life_test.go
@@ -13,18 +13,18 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// hears has a router exchange with another one as in a round.
-func (r *router) hears(t *testing.T, other *router) {
+// exchangeWith has a router exchange with another one as in a round.
+func (r *router) exchangeWith(t *testing.T, other *router) {
 	t.Helper()
 	d := &gossippb.Digest{Sender: r.gossip.Address()}
-	r.gossip.tellsKnown(d, steady.Now())
+	r.gossip.addOwnDigest(d, steady.Now())
 	r.gossip.exchange(t.Context(), other.gossip.Address(), d)
 }
 
 // A drain and an evacuation that one router knew before the store came back from a copy
 // reach one that has read the copy alone.
 func TestWhatIsHeldAgainstACopyIsTold(t *testing.T) {
-	knew, fresh := newRestingRouter(t, &source{}), newRestingRouter(t, &source{})
+	knew, fresh := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
 	for _, r := range []*router{knew, fresh} {
 		r.gossip.SetHoldersKnown()
 	}
@@ -41,36 +41,36 @@
 	require.NoError(t, knew.watcher.ApplySnapshot(snapshot(2, copied), steady.Now()))
 	require.NoError(t, fresh.watcher.ApplySnapshot(snapshot(2, copied), steady.Now()))
 	assert.True(t, fresh.watcher.Ready("a"))
-	fresh.hears(t, knew)
+	fresh.exchangeWith(t, knew)
 	for id, ready := range map[string]bool{"a": false, "b": true, "c": false} {
 		assert.Equal(t, ready, fresh.watcher.Ready(id), id)
 	}
 	assert.Equal(t, knew.watcher.Digest(), fresh.watcher.Digest())
 
-	late := newRestingRouter(t, &source{})
+	late := newIdleRouter(t, &source{})
 	late.gossip.SetHoldersKnown()
 	require.NoError(t, late.watcher.ApplySnapshot(snapshot(1, copied), steady.Now()))
-	late.hears(t, fresh)
+	late.exchangeWith(t, fresh)
 	assert.Equal(t, knew.watcher.Digest(), late.watcher.Digest(), "over a router that did not know it by itself")
 }
 
 func TestAReadThatFailedIsTold(t *testing.T) {
-	lost, other := newRestingRouter(t, &source{}), newRestingRouter(t, &source{})
+	lost, other := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
 	lost.watcher.ObservePeerFailure(steady.Now().Add(-time.Minute))
-	lost.hears(t, other)
+	lost.exchangeWith(t, other)
 	age, failed := other.watcher.LastFailure(steady.Now())
 	assert.True(t, failed)
 	assert.GreaterOrEqual(t, age, time.Minute)
 	assert.Less(t, age, 2*time.Minute)
 	require.NoError(t, other.watcher.ApplySnapshot(watch.Snapshot{Config: config(4)}, steady.Now()))
-	other.hears(t, lost)
+	other.exchangeWith(t, lost)
 	_, failed = other.watcher.LastFailure(steady.Now())
 	assert.False(t, failed)
 }
 
 // A router is answered in the form in which it names lists itself.
 func TestARouterOfAnOlderBuildIsAnsweredInItsForm(t *testing.T) {
-	r := newRestingRouter(t, &source{})
+	r := newIdleRouter(t, &source{})
 	list := replicas("a", "b")
 	for i := range list {
 		list[i].Born = int64(i + 1)
--- a/internal/gossip/marks.go
+++ b/internal/gossip/marks.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// marksPause is how long after the first mark others are told: all requests that a
+	// marksDelay is how long after the first mark others are told: all requests that a
 	// crash broke off end within some milliseconds.
-	marksPause = 5 * time.Millisecond
-	// sampleRequests is of how many requests a hello tells the marks, so that it fits a
+	marksDelay = 5 * time.Millisecond
+	// maxHelloMarks is of how many requests a hello tells the marks, so that it fits a
 	// datagram; it tells nothing as long as no replica crashes.
-	sampleRequests = 64
+	maxHelloMarks = 64
 )
 
-// tellMarks tells all partners of marks against requests, beside the rounds: until all
+// sendMarks tells all partners of marks against requests, beside the rounds: until all
 // know, each router sends a request that crashes replicas to one more.
-func (g *Gossip) tellMarks(ctx context.Context, now time.Time) {
+func (g *Gossip) sendMarks(ctx context.Context, now time.Time) {
 	marks := encodeMarks(g.poison.TakePending(), now)
 	if marks == nil {
 		return
@@ -37,12 +37,12 @@
 	hello := digests{hello: g.hello(now)}
 	g.mu.Unlock()
 	for _, address := range partners.Line {
-		g.start(ctx, address, d, hello)
+		g.startExchange(ctx, address, d, hello)
 	}
 }
 
-// takeMarks takes marks that another router told.
-func (g *Gossip) takeMarks(m *gossippb.Marks, now time.Time) {
+// mergeMarks takes marks that another router told.
+func (g *Gossip) mergeMarks(m *gossippb.Marks, now time.Time) {
 	marks := decodeMarks(m, now)
 	if len(marks) == 0 {
 		return
--- a/internal/gossip/marks_test.go
+++ b/internal/gossip/marks_test.go
@@ -12,14 +12,14 @@
 )
 
 var (
-	deadly   = poison.NewDigest("acme", "POST", "h", "/", []byte("deadly"))
-	askedFor = poison.Limits{Crashes: 3, Hold: time.Minute}
+	crashingRequest = poison.NewDigest("acme", "POST", "h", "/", []byte("deadly"))
+	crashLimits     = poison.Limits{Crashes: 3, Hold: time.Minute}
 )
 
-// held tells whether all routers hold a request.
-func held(fleet []*router) bool {
+// allHold tells whether all routers hold a request.
+func allHold(fleet []*router) bool {
 	for _, r := range fleet {
-		if r.gossip.poison.Check(deadly, time.Now()).State != poison.Held {
+		if r.gossip.poison.Check(crashingRequest, time.Now()).State != poison.Held {
 			return false
 		}
 	}
@@ -27,11 +27,11 @@
 }
 
 // Three replicas crashed as three routers saw, each of them one.
-func crashAtThree(fleet []*router) {
+func recordThreeCrashes(fleet []*router) {
 	for n, r := range fleet {
-		r.gossip.poison.SetLimits(askedFor)
+		r.gossip.poison.SetLimits(crashLimits)
 		if n < 3 {
-			r.gossip.poison.RecordCrash(deadly, uint32(n+1), time.Now(), time.Now())
+			r.gossip.poison.RecordCrash(crashingRequest, uint32(n+1), time.Now(), time.Now())
 		}
 	}
 }
@@ -43,14 +43,14 @@
 		fleet = append(fleet, newRouter(t, &source{}, first.gossip.Address()))
 	}
 	for _, r := range fleet {
-		until(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
+		waitUntil(t, func() bool { return r.gossip.MemberCount() == len(fleet) })
 	}
-	crashAtThree(fleet)
-	until(t, func() bool { return held(fleet) })
-	fleet[4].gossip.poison.RecordSuccess(deadly, time.Now())
-	until(t, func() bool {
+	recordThreeCrashes(fleet)
+	waitUntil(t, func() bool { return allHold(fleet) })
+	fleet[4].gossip.poison.RecordSuccess(crashingRequest, time.Now())
+	waitUntil(t, func() bool {
 		for _, r := range fleet {
-			if r.gossip.poison.Check(deadly, time.Now()).State != poison.Allowed {
+			if r.gossip.poison.Check(crashingRequest, time.Now()).State != poison.Allowed {
 				return false
 			}
 		}
@@ -60,63 +60,63 @@
 
 func TestMarksReachAllOfALargeFleet(t *testing.T) {
 	fleet := largeFleet(t, 20)
-	crashAtThree(fleet)
-	until(t, func() bool { return held(fleet) })
+	recordThreeCrashes(fleet)
+	waitUntil(t, func() bool { return allHold(fleet) })
 }
 
 // A router that starts, or was cut off, was told of nothing.
 func TestWhoSaysHelloLearnsWhatIsHeld(t *testing.T) {
 	first := newRouter(t, &source{})
-	crashAtThree([]*router{first})
+	recordThreeCrashes([]*router{first})
 	for replica := range uint32(3) {
-		first.gossip.poison.RecordCrash(deadly, replica, time.Now(), time.Now())
+		first.gossip.poison.RecordCrash(crashingRequest, replica, time.Now(), time.Now())
 	}
 	first.gossip.poison.TakePending()
 	second := newRouter(t, &source{}, first.gossip.Address())
-	second.gossip.poison.SetLimits(askedFor)
-	until(t, func() bool { return held([]*router{first, second}) })
+	second.gossip.poison.SetLimits(crashLimits)
+	waitUntil(t, func() bool { return allHold([]*router{first, second}) })
 }
 
 func TestMarksForABusyPartnerAreKept(t *testing.T) {
-	first, second := newRestingRouter(t, &source{}), newRouter(t, &source{})
-	first.gossip.poison.SetLimits(askedFor)
-	second.gossip.poison.SetLimits(askedFor)
+	first, second := newIdleRouter(t, &source{}), newRouter(t, &source{})
+	first.gossip.poison.SetLimits(crashLimits)
+	second.gossip.poison.SetLimits(crashLimits)
 	address := second.gossip.Address()
-	first.gossip.heard(address, "", true, time.Now())
-	first.gossip.tick(t.Context())
+	first.gossip.recordMessage(address, "", true, time.Now())
+	first.gossip.runRound(t.Context())
 	isBusy := func() bool {
 		first.gossip.mu.Lock()
 		defer first.gossip.mu.Unlock()
 		return first.gossip.busy[address]
 	}
 	// The round's own exchange would end amid the test, and the partner be free again.
-	until(t, func() bool { return !isBusy() })
+	waitUntil(t, func() bool { return !isBusy() })
 	first.gossip.mu.Lock()
 	first.gossip.busy[address] = true
 	first.gossip.mu.Unlock()
 	for replica := range uint32(3) {
-		first.gossip.poison.RecordCrash(deadly, replica, time.Now(), time.Now())
+		first.gossip.poison.RecordCrash(crashingRequest, replica, time.Now(), time.Now())
 	}
-	first.gossip.tellMarks(t.Context(), time.Now())
+	first.gossip.sendMarks(t.Context(), time.Now())
 	assert.Empty(t, first.gossip.poison.TakePending())
 	first.gossip.mu.Lock()
 	delete(first.gossip.busy, address)
 	// What is told again in each round is not what this is about.
-	missed := proto.CloneOf(first.gossip.missed[address])
+	missed := proto.CloneOf(first.gossip.deferred[address])
 	first.gossip.mu.Unlock()
 	assert.Len(t, missed.GetMarks().GetCrashed(), 3)
-	first.gossip.tick(t.Context())
-	until(t, func() bool { return held([]*router{second}) })
+	first.gossip.runRound(t.Context())
+	waitUntil(t, func() bool { return allHold([]*router{second}) })
 }
 
 func TestMarksCrossTheWire(t *testing.T) {
 	now := time.Now()
-	marks := []poison.Mark{{Digest: deadly, Replica: 7, At: now.Add(-time.Second)}, {Digest: deadly, At: now.Add(-time.Minute), Served: true}}
+	marks := []poison.Mark{{Digest: crashingRequest, Replica: 7, At: now.Add(-time.Second)}, {Digest: crashingRequest, At: now.Add(-time.Minute), Served: true}}
 	assert.Equal(t, marks, decodeMarks(encodeMarks(marks, now), now))
 	assert.Nil(t, encodeMarks(nil, now))
 	assert.Empty(t, decodeMarks(nil, now))
-	assert.Empty(t, decodeMarks(&gossippb.Marks{Crashed: [][]byte{deadly[:3]}, Replica: []uint32{1}, CrashedAgeMs: []uint32{1}}, now))
-	assert.Len(t, decodeMarks(&gossippb.Marks{Crashed: [][]byte{deadly[:], deadly[:]}, Replica: []uint32{1, 2}, CrashedAgeMs: []uint32{1}}, now), 1)
-	ahead := encodeMarks([]poison.Mark{{Digest: deadly, Replica: 7, At: now.Add(time.Second)}}, now)
+	assert.Empty(t, decodeMarks(&gossippb.Marks{Crashed: [][]byte{crashingRequest[:3]}, Replica: []uint32{1}, CrashedAgeMs: []uint32{1}}, now))
+	assert.Len(t, decodeMarks(&gossippb.Marks{Crashed: [][]byte{crashingRequest[:], crashingRequest[:]}, Replica: []uint32{1, 2}, CrashedAgeMs: []uint32{1}}, now), 1)
+	ahead := encodeMarks([]poison.Mark{{Digest: crashingRequest, Replica: 7, At: now.Add(time.Second)}}, now)
 	assert.Equal(t, []uint32{0}, ahead.CrashedAgeMs)
 }
--- a/internal/gossip/news.go
+++ b/internal/gossip/news.go
@@ -7,18 +7,18 @@
 	"github.com/croftyard/croftyard/pkg/membership"
 )
 
-// newsPause is how long after a change of the configuration or of the list it is told:
+// newsDelay is how long after a change of the configuration or of the list it is told:
 // changes come several at a time, and two steps of it are nothing to what a round takes.
-const newsPause = 20 * time.Millisecond
+const newsDelay = 20 * time.Millisecond
 
-// tellNews tells the partners of a large fleet that this router knows something new,
+// sendNews tells the partners of a large fleet that this router knows something new,
 // beside the rounds: waiting for two of them sends requests to replicas that leave, and holds
 // up what the operator has changed.
-func (g *Gossip) tellNews(now time.Time) {
+func (g *Gossip) sendNews(now time.Time) {
 	g.mu.Lock()
 	large, partners := g.members.Large(), g.partners
 	d := &gossippb.Digest{AsksOnly: true, Stopping: g.stopped}
-	g.tellsKnown(d, now)
+	g.addOwnDigest(d, now)
 	g.mu.Unlock()
 	if !large {
 		return
@@ -28,11 +28,11 @@
 
 // sendAll sends a digest to all partners in a large fleet.
 func (g *Gossip) sendAll(partners membership.Partners, d *gossippb.Digest) {
-	packets := packets{g: g}
+	packets := packetCache{g: g}
 	for _, address := range partners.Line {
-		g.send(address, packets.of(d, address))
+		g.send(address, packets.get(d, address))
 	}
 	for _, address := range partners.RelayTo {
-		g.send(address, packets.of(d, address))
+		g.send(address, packets.get(d, address))
 	}
 }
--- a/internal/gossip/pack.go
+++ b/internal/gossip/pack.go
@@ -16,16 +16,16 @@
 // maxUnpacked bounds what a packed value may grow to, in bytes.
 const maxUnpacked = 64 << 20
 
-// writers are used again: one takes more memory than all else that a router allocates for
+// gzipWriters are used again: one takes more memory than all else that a router allocates for
 // what it passes on.
-var writers = sync.Pool{New: func() any { return gzip.NewWriter(nil) }}
+var gzipWriters = sync.Pool{New: func() any { return gzip.NewWriter(nil) }}
 
 // pack encodes a value for another router: in a large configuration much is alike, and a link
 // may be narrow.
 func pack(value any) ([]byte, error) {
 	var out bytes.Buffer
-	writer := writers.Get().(*gzip.Writer)
-	defer writers.Put(writer)
+	writer := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(writer)
 	writer.Reset(&out)
 	if err := json.NewEncoder(writer).Encode(value); err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
--- a/internal/gossip/pack_test.go
+++ b/internal/gossip/pack_test.go
@@ -39,7 +39,7 @@
 
 // When something is new, all routers that hear of it ask those that told them.
 func TestEachStateIsPackedOnce(t *testing.T) {
-	r := newRestingRouter(t, &source{})
+	r := newIdleRouter(t, &source{})
 	read := time.Now()
 	ask := func() *gossippb.KnowledgeReply {
 		reply, err := r.gossip.Knowledge(t.Context(), &gossippb.KnowledgeRequest{})
--- a/internal/gossip/round.go
+++ b/internal/gossip/round.go
@@ -10,16 +10,16 @@
 	"github.com/croftyard/croftyard/internal/steady"
 )
 
-// tick is one round: it tells the partners.
-func (g *Gossip) tick(ctx context.Context) {
+// runRound is one round: it tells the partners.
+func (g *Gossip) runRound(ctx context.Context) {
 	now := steady.Now()
 	g.mu.Lock()
 	lost := g.members.Expire(now)
 	large := g.members.Large()
 	partners := g.members.Partners(now)
 	known, changes := g.members.KnownAddresses(), g.members.Changes()
-	news := changes != g.routersAt
-	g.routersAt = changes
+	news := changes != g.announcedChanges
+	g.announcedChanges = changes
 	g.partners = partners
 	g.round++
 	round := g.round
@@ -28,82 +28,82 @@
 	if news {
 		g.balancer.SetRouters(g.server.Address(), known, now)
 	}
-	g.balancer.SetHoldersSynced(g.recalled.Load())
-	g.noteLost(lost)
+	g.balancer.SetHoldersSynced(g.holdersKnown.Load())
+	g.forgetLost(lost)
 	if large {
-		g.tellRumors(partners, now)
+		g.sendRumors(partners, now)
 	}
-	if large && round%largeRounds != 0 && !g.balancer.CapacityReduced(now) {
+	if large && round%largeRoundFactor != 0 && !g.balancer.CapacityReduced(now) {
 		return
 	}
 	d := g.digests(now, large)
 	if large {
-		g.tell(partners, d, round%largeHelloRounds == 0, now)
+		g.sendRound(partners, d, round%largeHelloRounds == 0, now)
 	} else {
-		g.call(ctx, partners.Line, d, round%helloRounds == 0)
+		g.exchangeAll(ctx, partners.Line, d, round%helloRounds == 0)
 	}
 	for _, address := range partners.Seeds {
 		// Whose line a seed is of is not known.
-		g.start(ctx, address, &gossippb.Digest{Sender: g.server.Address(), Stopping: d.own.Stopping, AsksOnly: true}, d)
+		g.startExchange(ctx, address, &gossippb.Digest{Sender: g.server.Address(), Stopping: d.own.Stopping, AsksOnly: true}, d)
 	}
 }
 
-// call exchanges with all others, in a small fleet.
-func (g *Gossip) call(ctx context.Context, partners []string, d digests, hello bool) {
+// exchangeAll exchanges with all others, in a small fleet.
+func (g *Gossip) exchangeAll(ctx context.Context, partners []string, d digests, hello bool) {
 	own := d.own
 	if hello {
-		own = d.with(own)
+		own = d.withHello(own)
 	}
 	for _, address := range partners {
-		g.start(ctx, address, own, d)
+		g.startExchange(ctx, address, own, d)
 	}
 }
 
-// noteLost forgets members that fell silent.
-func (g *Gossip) noteLost(members []string) {
+// forgetLost forgets members that fell silent.
+func (g *Gossip) forgetLost(members []string) {
 	for _, address := range members {
 		g.balancer.RemovePeer(address)
 		g.forgetForm(address)
 		g.mu.Lock()
-		delete(g.missed, address)
+		delete(g.deferred, address)
 		g.mu.Unlock()
 		g.log.Write(event.PeerLost, event.F("peer", address))
 	}
 }
 
-// start begins an exchange with a partner unless one is under way: then what the
+// startExchange begins an exchange with a partner unless one is under way: then what the
 // digest tells once is kept for the next round. Who may not know this router is
 // told hello.
-func (g *Gossip) start(ctx context.Context, address string, digest *gossippb.Digest, d digests) {
+func (g *Gossip) startExchange(ctx context.Context, address string, digest *gossippb.Digest, d digests) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.busy[address] {
-		g.miss(address, digest)
+		g.deferRumors(address, digest)
 		return
 	}
 	g.busy[address] = true
 	if g.centres[address] == "" && !digest.Hello {
-		digest = d.with(digest)
+		digest = d.withHello(digest)
 	}
-	if missed := g.missed[address]; missed != nil {
+	if missed := g.deferred[address]; missed != nil {
 		digest = proto.CloneOf(digest)
 		proto.Merge(digest, missed)
-		delete(g.missed, address)
+		delete(g.deferred, address)
 	}
 	go g.exchange(ctx, address, digest)
 }
 
-// maxMissed bounds the failures, and the marks, that are kept for a partner that is busy.
-const maxMissed = 64
+// maxDeferred bounds the failures, and the marks, that are kept for a partner that is busy.
+const maxDeferred = 64
 
-// miss keeps the rumors of a digest for a partner. g.mu is held.
-func (g *Gossip) miss(address string, digest *gossippb.Digest) {
-	missed := g.missed[address]
+// deferRumors keeps the rumors of a digest for a partner. g.mu is held.
+func (g *Gossip) deferRumors(address string, digest *gossippb.Digest) {
+	missed := g.deferred[address]
 	if missed == nil {
 		missed = &gossippb.Digest{}
-		g.missed[address] = missed
+		g.deferred[address] = missed
 	}
-	if len(missed.Failed) >= maxMissed || len(missed.Part) >= maxMissed || len(missed.Marks.GetCrashed()) >= maxMissed {
+	if len(missed.Failed) >= maxDeferred || len(missed.Part) >= maxDeferred || len(missed.Marks.GetCrashed()) >= maxDeferred {
 		return
 	}
 	proto.Merge(missed, &gossippb.Digest{
--- a/internal/gossip/round_test.go
+++ b/internal/gossip/round_test.go
@@ -17,8 +17,8 @@
 // way: a test of two routers waited for it in vain, once in some runs of CI.
 func TestRumorsForABusyPartnerAreKeptForTheNextRound(t *testing.T) {
 	// Rounds of their own would tell and miss beside the test.
-	first := newRestingRouter(t, &source{})
-	second := newRestingRouter(t, &source{})
+	first := newIdleRouter(t, &source{})
+	second := newIdleRouter(t, &source{})
 	address := second.gossip.Address()
 	g := first.gossip
 	d := digests{hello: &gossippb.Digest{Hello: true}}
@@ -26,27 +26,27 @@
 	g.mu.Lock()
 	g.busy[address] = true
 	g.mu.Unlock()
-	g.start(context.Background(), address, rumor, d)
+	g.startExchange(context.Background(), address, rumor, d)
 	g.mu.Lock()
-	assert.Equal(t, []uint32{1}, g.missed[address].Failed)
+	assert.Equal(t, []uint32{1}, g.deferred[address].Failed)
 	g.busy[address] = false
 	g.mu.Unlock()
-	g.start(context.Background(), address, &gossippb.Digest{Sender: g.Address()}, d)
+	g.startExchange(context.Background(), address, &gossippb.Digest{Sender: g.Address()}, d)
 	g.mu.Lock()
-	assert.Nil(t, g.missed[address], "it went along")
+	assert.Nil(t, g.deferred[address], "it went along")
 	g.mu.Unlock()
-	for range 2 * maxMissed {
+	for range 2 * maxDeferred {
 		g.mu.Lock()
-		g.miss("other", rumor)
+		g.deferRumors("other", rumor)
 		g.mu.Unlock()
 	}
-	assert.Len(t, g.missed["other"].Failed, maxMissed)
+	assert.Len(t, g.deferred["other"].Failed, maxDeferred)
 }
 
 func TestALargeFleetTellsInEachRoundWhileManyReplicasAreIdle(t *testing.T) {
 	for name, evacuated := range map[string][]string{"all in use": nil, "some idle": {"north"}} {
 		t.Run(name, func(t *testing.T) {
-			r := newRestingRouter(t, &source{})
+			r := newIdleRouter(t, &source{})
 			list := replicas("a", "b")
 			list[0].DataCentre = "north"
 			r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list, Evacuated: evacuated}, time.Now())
@@ -54,7 +54,7 @@
 				r.gossip.members.RecordHeartbeat(fmt.Sprintf("127.0.0.1:%d", port+1), time.Now())
 			}
 			told := func() int {
-				r.gossip.tick(t.Context())
+				r.gossip.runRound(t.Context())
 				r.gossip.mu.Lock()
 				defer r.gossip.mu.Unlock()
 				return r.gossip.hellos
@@ -75,7 +75,7 @@
 	for i := range hot {
 		hot[i].At = hot[i].At.Add(time.Hour)
 	}
-	assert.Equal(t, hot, decode(&d, later).Hot)
+	assert.Equal(t, hot, decodeDigest(&d, later).Hot)
 	d.HotHomes = d.HotHomes[:1]
-	assert.Len(t, decode(&d, later).Hot, 1, "a damaged message is read as far as it goes")
+	assert.Len(t, decodeDigest(&d, later).Hot, 1, "a damaged message is read as far as it goes")
 }
--- a/internal/gossip/rumors.go
+++ b/internal/gossip/rumors.go
@@ -9,15 +9,15 @@
 	"github.com/croftyard/croftyard/pkg/membership"
 )
 
-// rumorPartners is how many partners of a large fleet are told a rumor, others each
+// rumorFanout is how many partners of a large fleet are told a rumor, others each
 // time, in each round of a small one. Each of them passes on what is new to it, so that a
 // rumor is sooner with all, and takes fewer bytes, than if all were told in each round of a
 // large one.
-const rumorPartners = 12
+const rumorFanout = 12
 
-// tellRumors tells some partners in a large fleet what this router saw or was told
+// sendRumors tells some partners in a large fleet what this router saw or was told
 // since the last round of a small one.
-func (g *Gossip) tellRumors(partners membership.Partners, now time.Time) {
+func (g *Gossip) sendRumors(partners membership.Partners, now time.Time) {
 	rumors := g.balancer.TakeRumors()
 	if rumors.Empty() {
 		return
@@ -27,7 +27,7 @@
 	packet := encodeDigest(d)
 	all := slices.Concat(partners.Line, partners.RelayTo)
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	for _, address := range all[:min(rumorPartners, len(all))] {
+	for _, address := range all[:min(rumorFanout, len(all))] {
 		g.send(address, packet)
 	}
 }
--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -16,28 +16,28 @@
 // Exchange implements the generated interface.
 func (g *Gossip) Exchange(_ context.Context, d *gossippb.Digest) (*gossippb.Freshness, error) {
 	now := steady.Now()
-	g.take(d, now)
+	g.applyDigest(d, now)
 	reply := g.answer(d, now)
 	g.meter.Received(d, reply)
 	return reply, nil
 }
 
-// take takes what a router tells.
-func (g *Gossip) take(d *gossippb.Digest, now time.Time) {
+// applyDigest takes what a router tells.
+func (g *Gossip) applyDigest(d *gossippb.Digest, now time.Time) {
 	if d.Stopping {
-		g.left(d.Sender, now)
+		g.recordLeave(d.Sender, now)
 	} else {
-		g.heard(d.Sender, d.DataCentre, !d.AsksOnly, now)
+		g.recordMessage(d.Sender, d.DataCentre, !d.AsksOnly, now)
 	}
 	switch {
 	case d.Stopping:
 	case d.AsksOnly:
-		g.balancer.MergeRumors(decode(d, now).Rumors, now)
+		g.balancer.MergeRumors(decodeDigest(d, now).Rumors, now)
 	default:
-		g.merge(d, now)
+		g.mergeCounts(d, now)
 	}
-	g.takeMarks(d.Marks, now)
-	g.noteForm(d)
+	g.mergeMarks(d.Marks, now)
+	g.recordForm(d)
 	if d.ReadFailedMs != nil {
 		g.watcher.ObservePeerFailure(now.Add(-milliseconds(d.GetReadFailedMs())))
 	}
@@ -55,9 +55,9 @@
 	if d.Hello {
 		reply.DataCentre = g.options.DataCentre
 		reply.Member, reply.HeardMs = g.rows(now)
-		reply.Marks = encodeMarks(g.poison.Sample(sampleRequests), now)
+		reply.Marks = encodeMarks(g.poison.Sample(maxHelloMarks), now)
 	}
-	word, age := g.knows(now)
+	word, age := g.ownDigest(now)
 	if g.plain[d.Sender] {
 		word.ListHash = g.watcher.PlainHash()
 	}
@@ -65,9 +65,9 @@
 	return reply
 }
 
-// knows returns what this router knows and how old the proof is, which is nil before
+// ownDigest returns what this router ownDigest and how old the proof is, which is nil before
 // there is one.
-func (g *Gossip) knows(now time.Time) (word watch.Digest, proofMs *uint32) {
+func (g *Gossip) ownDigest(now time.Time) (word watch.Digest, proofMs *uint32) {
 	if !g.watcher.Initialized() {
 		return word, nil
 	}
@@ -75,18 +75,18 @@
 	return g.watcher.Digest(), &age
 }
 
-// tellsKnown adds to a digest what this router knows.
-func (g *Gossip) tellsKnown(d *gossippb.Digest, now time.Time) {
+// addOwnDigest adds to a digest what this router knows.
+func (g *Gossip) addOwnDigest(d *gossippb.Digest, now time.Time) {
 	if age, failed := g.watcher.LastFailure(now); failed {
 		milliseconds := uint32(age.Milliseconds())
 		d.ReadFailedMs = &milliseconds
 	}
-	word, age := g.knows(now)
+	word, age := g.ownDigest(now)
 	d.Version, d.Mark, d.Generation, d.Facts, d.ProofMs = word.Version, word.ListHash, word.Generation, word.FactsHash, age
 }
 
-// wordOf is what a digest or an answer says that its sender knows.
-func wordOf(m interface {
+// digestOf is what a digest or an answer says that its sender knows.
+func digestOf(m interface {
 	GetVersion() uint64
 	GetMark() uint64
 	GetGeneration() uint64
@@ -95,9 +95,9 @@
 	return watch.Digest{Version: m.GetVersion(), ListHash: m.GetMark(), Generation: m.GetGeneration(), FactsHash: m.GetFacts()}
 }
 
-// merge takes what a router tells of itself or of its line.
-func (g *Gossip) merge(d *gossippb.Digest, now time.Time) {
-	told := decode(d, now)
+// mergeCounts takes what a router tells of itself or of its line.
+func (g *Gossip) mergeCounts(d *gossippb.Digest, now time.Time) {
+	told := decodeDigest(d, now)
 	if d.Lines > 0 {
 		line := balance.LineCounts{Counts: told.Running, Singles: decodeSingles(d.Singles)}
 		g.balancer.MergeLine(balance.Line{Number: int(d.Line), Total: int(d.Lines)}, line, told.Rumors, now)
@@ -147,10 +147,10 @@
 	if err := g.encodeKnowledge(reply, k); err != nil {
 		return nil, err
 	}
-	if r.Holders && g.recalled.Load() {
+	if r.Holders && g.holdersKnown.Load() {
 		reply.Part, reply.Holder = encodeHolders(g.balancer.Holders(steady.Now()))
 	}
-	if !g.teaching.take(proto.Size(reply), steady.Now()) {
+	if !g.budget.allow(proto.Size(reply), steady.Now()) {
 		// The caller goes on with what it has, and asks whoever it hears from next.
 		g.refused.Add(1)
 		return &gossippb.KnowledgeReply{}, nil
--- a/internal/gossip/silence.go
+++ b/internal/gossip/silence.go
@@ -16,14 +16,14 @@
 	// where each is heard once a round: one datagram of each may be lost.
 	fewSilentRounds = 2.2
 	fewMembers      = 2
-	// silenceLooks is how often in a round that is looked at.
-	silenceLooks = 4
+	// silenceChecks is how often in a round that is looked at.
+	silenceChecks = 4
 )
 
 // period is the pause between two rounds of this router. g.mu is held.
 func (g *Gossip) period() time.Duration {
 	if g.members.Large() {
-		return largeRounds * g.options.Period
+		return largeRoundFactor * g.options.Period
 	}
 	return g.options.Period
 }
@@ -35,7 +35,7 @@
 func (g *Gossip) silentCentres(now time.Time) []string {
 	limit := time.Duration(silentRounds * float64(g.period()))
 	fewLimit := limit
-	if !g.asksAll() {
+	if !g.queriesAll() {
 		fewLimit = time.Duration(fewSilentRounds * float64(g.period()))
 	}
 	members := make(map[string]int)
@@ -66,9 +66,9 @@
 	return names
 }
 
-// noteSilence notes the data centres that fell silent. One that is heard again
+// reportSilentCentres notes the data centres that fell silent. One that is heard again
 // is noted at once.
-func (g *Gossip) noteSilence(now time.Time) {
+func (g *Gossip) reportSilentCentres(now time.Time) {
 	g.mu.Lock()
 	silent := g.silentCentres(now)
 	g.mu.Unlock()
--- a/internal/gossip/silent_test.go
+++ b/internal/gossip/silent_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAnExchangeOnASilentConnectionStillArrives(t *testing.T) {
-	told, teller := newRestingRouter(t, &source{}), newRestingRouter(t, &source{})
+	told, teller := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
 	relay, err := faulty.NewRelay(told.gossip.Address())
 	require.NoError(t, err)
 	t.Cleanup(relay.Close)
--- a/internal/gossip/teach.go
+++ b/internal/gossip/teach.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	// teachRate is how much knowledge a router passes on, in bytes a second: most of a
+	// knowledgeRate is how much knowledge a router passes on, in bytes a second: most of a
 	// link of 10 Mbit/s, the narrowest that the users have.
-	teachRate = 1 << 20
-	// teachAhead is how much may be on its way, as time at teachRate. What is answered
+	knowledgeRate = 1 << 20
+	// maxBacklog is how much may be on its way, as time at teachRate. What is answered
 	// last so comes well within learnTimeout.
-	teachAhead = 300 * time.Millisecond
+	maxBacklog = 300 * time.Millisecond
 )
 
-// teaching bounds what a router passes on. When a large fleet starts, or the operator
+// sendBudget bounds what a router passes on. When a large fleet starts, or the operator
 // changes much, some hundred ask the few that know at once. If all were answered over a
 // narrow link none would have its answer in time. So a few are answered at a time, and those
 // can answer the others.
 //
 // It is safe for concurrent use.
-type teaching struct {
+type sendBudget struct {
 	mu sync.Mutex
-	// until is when all that was answered has left, by teachRate.
-	until time.Time
+	// drained is when all that was answered has left, by teachRate.
+	drained time.Time
 }
 
-// take tells whether an answer of some bytes may leave now.
-func (t *teaching) take(bytes int, now time.Time) bool {
+// allow tells whether an answer of some bytes may leave now.
+func (t *sendBudget) allow(bytes int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.until.Sub(now) > teachAhead {
+	if t.drained.Sub(now) > maxBacklog {
 		return false
 	}
-	if t.until.Before(now) {
-		t.until = now
+	if t.drained.Before(now) {
+		t.drained = now
 	}
-	t.until = t.until.Add(time.Duration(float64(bytes) / teachRate * float64(time.Second)))
+	t.drained = t.drained.Add(time.Duration(float64(bytes) / knowledgeRate * float64(time.Second)))
 	return true
 }
 
--- a/internal/gossip/teach_test.go
+++ b/internal/gossip/teach_test.go
@@ -11,35 +11,35 @@
 )
 
 func TestWhatIsPassedOnLeavesInTime(t *testing.T) {
-	var taught teaching
+	var taught sendBudget
 	now := time.Now()
 	const list = 57 << 10
 	answered := 0
 	for range 99 {
-		if taught.take(list, now) {
+		if taught.allow(list, now) {
 			answered++
 		}
 	}
 	assert.Equal(t, 6, answered, "at once")
-	assert.Less(t, float64(answered*list)/teachRate, learnTimeout.Seconds()/2)
+	assert.Less(t, float64(answered*list)/knowledgeRate, knowledgeTimeout.Seconds()/2)
 	for ms := range 1000 {
-		if taught.take(list, now.Add(time.Duration(ms)*time.Millisecond)) {
+		if taught.allow(list, now.Add(time.Duration(ms)*time.Millisecond)) {
 			answered++
 		}
 	}
-	assert.InDelta(t, teachRate/list+6, answered, 1, "then as many as the link carries")
-	assert.True(t, taught.take(64<<20, now.Add(time.Minute)), "what is larger than all that goes alone")
+	assert.InDelta(t, knowledgeRate/list+6, answered, 1, "then as many as the link carries")
+	assert.True(t, taught.allow(64<<20, now.Add(time.Minute)), "what is larger than all that goes alone")
 }
 
 // Who is not answered goes on with what it has, and learns later.
 func TestWhoIsNotAnsweredLearnsLater(t *testing.T) {
-	teacher, learner := newRestingRouter(t, &source{}), newRestingRouter(t, &source{})
+	teacher, learner := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
 	teacher.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a")}, time.Now())
-	require.True(t, teacher.gossip.teaching.take(1<<30, time.Now()))
-	learner.gossip.learn(t.Context(), teacher.gossip.Address())
+	require.True(t, teacher.gossip.budget.allow(1<<30, time.Now()))
+	learner.gossip.fetchKnowledge(t.Context(), teacher.gossip.Address())
 	assert.False(t, learner.watcher.Initialized(), "a refusal says nothing")
 	assert.EqualValues(t, 1, teacher.gossip.RefusedRequests())
-	teacher.gossip.teaching.until = time.Time{}
-	learner.gossip.learn(t.Context(), teacher.gossip.Address())
+	teacher.gossip.budget.drained = time.Time{}
+	learner.gossip.fetchKnowledge(t.Context(), teacher.gossip.Address())
 	assert.True(t, learner.watcher.Initialized())
 }
--- a/internal/gossip/tell.go
+++ b/internal/gossip/tell.go
@@ -12,17 +12,17 @@
 	"github.com/croftyard/croftyard/pkg/membership"
 )
 
-// aliveRounds is how often the members of a line that live are told, in rounds of a
+// aliveInterval is how often the members of a line that live are told, in rounds of a
 // large fleet: each is so heard of some times before it would be forgotten.
-const aliveRounds = 2
+const aliveInterval = 2
 
-// tell tells the partners in a large fleet, each in a datagram, and asks some of them.
+// sendRound tells the partners in a large fleet, each in a datagram, and asks some of them.
 // The datagrams that ask nothing are all alike, and encoded once.
-func (g *Gossip) tell(partners membership.Partners, d digests, hello bool, now time.Time) {
-	g.dropQuestions(now)
+func (g *Gossip) sendRound(partners membership.Partners, d digests, hello bool, now time.Time) {
+	g.expireQueries(now)
 	all := len(partners.Line) + len(partners.RelayTo)
-	first, asks := g.turn(all)
-	packets := packets{g: g}
+	first, asks := g.nextQueried(all)
+	packets := packetCache{g: g}
 	for i := range all {
 		address, digest := "", d.own
 		if i < len(partners.Line) {
@@ -30,21 +30,21 @@
 		} else {
 			address, digest = partners.RelayTo[i-len(partners.Line)], d.line
 		}
-		unmet := g.unmet(address)
+		unmet := g.centreUnknown(address)
 		if unmet || (i-first+all)%all < asks {
-			digest = g.asking(address, digest, d, unmet || hello, now)
-			if g.speaksPlain(address) {
-				digest = g.inPlain(digest)
+			digest = g.withQuery(address, digest, d, unmet || hello, now)
+			if g.usesPlainForm(address) {
+				digest = g.inPlainForm(digest)
 			}
 			g.send(address, encodeDigest(digest))
 			continue
 		}
-		g.send(address, packets.of(digest, address))
+		g.send(address, packets.get(digest, address))
 	}
 }
 
-// packets are digests that are told to many, each encoded once in each form.
-type packets struct {
+// packetCache are digests that are told to many, each encoded once in each form.
+type packetCache struct {
 	g       *Gossip
 	encoded map[packetKey][]byte
 }
@@ -54,9 +54,9 @@
 	plain  bool
 }
 
-// of returns a digest as a router understands it.
-func (p *packets) of(digest *gossippb.Digest, address string) []byte {
-	key := packetKey{digest, p.g.speaksPlain(address)}
+// get returns a digest as a router understands it.
+func (p *packetCache) get(digest *gossippb.Digest, address string) []byte {
+	key := packetKey{digest, p.g.usesPlainForm(address)}
 	packet, done := p.encoded[key]
 	if done {
 		return packet
@@ -65,26 +65,26 @@
 		p.encoded = make(map[packetKey][]byte)
 	}
 	if key.plain {
-		digest = p.g.inPlain(digest)
+		digest = p.g.inPlainForm(digest)
 	}
 	packet = encodeDigest(digest)
 	p.encoded[key] = packet
 	return packet
 }
 
-// asking returns a digest that asks for an answer, with a hello or without.
-func (g *Gossip) asking(address string, digest *gossippb.Digest, d digests, hello bool, now time.Time) *gossippb.Digest {
+// withQuery returns a digest that asks for an answer, with a hello or without.
+func (g *Gossip) withQuery(address string, digest *gossippb.Digest, d digests, hello bool, now time.Time) *gossippb.Digest {
 	if hello {
-		digest = d.with(digest)
+		digest = d.withHello(digest)
 	} else {
 		digest = proto.CloneOf(digest)
 	}
-	digest.Ask = g.noteQuestion(question{address: address, at: now})
+	digest.Ask = g.addQuery(query{address: address, at: now})
 	return digest
 }
 
-// unmet tells whether a member has not said which data centre it is of.
-func (g *Gossip) unmet(address string) bool {
+// centreUnknown tells whether a member has not said which data centre it is of.
+func (g *Gossip) centreUnknown(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.centres[address] == ""
@@ -116,8 +116,8 @@
 // UnsentDatagrams returns how many datagrams could not be sent.
 func (g *Gossip) UnsentDatagrams() uint64 { return g.unsent.Load() }
 
-// takeDatagram takes what another router sent.
-func (g *Gossip) takeDatagram(from netip.AddrPort, packet []byte) {
+// handleDatagram takes what another router sent.
+func (g *Gossip) handleDatagram(from netip.AddrPort, packet []byte) {
 	var d gossippb.Datagram
 	if proto.Unmarshal(packet, &d) != nil {
 		return
@@ -127,16 +127,16 @@
 	case d.Digest != nil:
 		// A datagram that names another sender would have this router send to whom it names.
 		d.Digest.Sender = from.String()
-		g.takeTold(d.Digest, now)
+		g.handleDigest(d.Digest, now)
 	case d.Answer != nil:
-		g.takeAnswer(d.Answer, now)
+		g.handleAnswer(d.Answer, now)
 	}
 }
 
-// takeTold takes a digest that came in a datagram, answers it if it asks, and asks
+// handleDigest takes a digest that came in a datagram, answers it if it asks, and asks
 // back if its sender seems to know more.
-func (g *Gossip) takeTold(d *gossippb.Digest, now time.Time) {
-	g.take(d, now)
+func (g *Gossip) handleDigest(d *gossippb.Digest, now time.Time) {
+	g.applyDigest(d, now)
 	if d.Ask != 0 {
 		answer := g.answer(d, now)
 		answer.Ask = d.Ask
@@ -145,8 +145,8 @@
 	if d.Stopping {
 		return
 	}
-	unmet := g.unmet(d.Sender) && g.mayGreet(d.Sender, now)
-	if (unmet || g.seemsNewer(d, now)) && g.mayAsk(d.Sender, now) {
-		g.ask(d.Sender, unmet, now)
+	unmet := g.centreUnknown(d.Sender) && g.maySayHello(d.Sender, now)
+	if (unmet || g.seemsNewer(d, now)) && g.mayQuery(d.Sender, now) {
+		g.sendQuery(d.Sender, unmet, now)
 	}
 }
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -29,7 +29,7 @@
 	if !large {
 		rumors.Sender = g.server.Address()
 	}
-	g.tellsKnown(rumors, now)
+	g.addOwnDigest(rumors, now)
 	encodeRows(rumors, g.members.TakeNew(maxRows, now))
 	encodeRumors(rumors, told.Rumors, now)
 	if !large {
@@ -49,7 +49,7 @@
 			d.line.Singles = binary.LittleEndian.AppendUint16(d.line.Singles, single)
 		}
 	}
-	if large && g.round/largeRounds%aliveRounds == 0 {
+	if large && g.round/largeRoundFactor%aliveInterval == 0 {
 		d.line.Alive = g.members.AliveHashes(now)
 	}
 	return d
@@ -59,12 +59,12 @@
 func (g *Gossip) hello(now time.Time) *gossippb.Digest {
 	d := &gossippb.Digest{Hello: true, DataCentre: g.options.DataCentre}
 	d.Member, d.HeardMs = g.rows(now)
-	d.Marks = encodeMarks(g.poison.Sample(sampleRequests), now)
+	d.Marks = encodeMarks(g.poison.Sample(maxHelloMarks), now)
 	return d
 }
 
-// with returns a digest with a hello.
-func (d digests) with(digest *gossippb.Digest) *gossippb.Digest {
+// withHello returns a digest withHello a hello.
+func (d digests) withHello(digest *gossippb.Digest) *gossippb.Digest {
 	both := proto.CloneOf(digest)
 	proto.Merge(both, d.hello)
 	return both
@@ -129,9 +129,9 @@
 
 func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// decode reads a digest. Columns of unequal length are read as far as they all
+// decodeDigest reads a digest. Columns of unequal length are read as far as they all
 // go, so that a damaged message cannot harm.
-func decode(d *gossippb.Digest, now time.Time) balance.PeerUpdate {
+func decodeDigest(d *gossippb.Digest, now time.Time) balance.PeerUpdate {
 	var t balance.PeerUpdate
 	for i := range min(len(d.Replica), len(d.Running)) {
 		t.Running = append(t.Running, balance.ReplicaCount{Replica: d.Replica[i], Running: int(d.Running[i])})
--- a/internal/gossip/woke_test.go
+++ b/internal/gossip/woke_test.go
@@ -13,7 +13,7 @@
 
 // A proof travels as its age: from a router that was suspended it looked as new as before.
 func TestAProofFromBeforeASuspensionIsToldAsOld(t *testing.T) {
-	r := newRestingRouter(t, &source{})
+	r := newIdleRouter(t, &source{})
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a")}, steady.Now())
 	defer steady.Pretend(10 * time.Second)()
 	answer, err := r.gossip.Exchange(t.Context(), &gossippb.Digest{Sender: "127.0.0.2:1"})
@@ -26,13 +26,13 @@
 
 // What was asked before a suspension and is answered after it tells what was true then.
 func TestAnAnswerToAQuestionFromBeforeASuspensionProvesNothingSince(t *testing.T) {
-	r := newRestingRouter(t, &source{})
+	r := newIdleRouter(t, &source{})
 	asked := steady.Now()
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a")}, asked.Add(-time.Minute))
 	word := r.watcher.Digest()
 	version, mark := word.Version, word.ListHash
 	defer steady.Pretend(10 * time.Second)()
 	age := uint32(1)
-	r.gossip.takeFreshness("127.0.0.2:1", &gossippb.Freshness{Version: version, Mark: mark, ProofMs: &age}, asked, steady.Now())
+	r.gossip.applyFreshness("127.0.0.2:1", &gossippb.Freshness{Version: version, Mark: mark, ProofMs: &age}, asked, steady.Now())
 	assert.GreaterOrEqual(t, r.watcher.Age(steady.Now()), 10*time.Second)
 }
