--- a/internal/gossip/ask.go
+++ b/internal/gossip/ask.go
@@ -6,40 +6,41 @@
 	"github.com/croftyard/croftyard/internal/gossip/gossippb"
 )
 
-// In a large fleet nobody answers what is told. A proof must be dated from when it was
-// asked for, so who is told of one that seems newer than its own asks:
+// In a large fleet digests are sent in datagrams that need no answer. A proof must be
+// dated from the time of the query for it, so a router that receives a digest which seems
+// newer than its own knowledge queries the sender:
 //
-//	a tells b       what it runs, and how new its knowledge seems
-//	b asks a        if that is newer than its own
-//	a answers b     how new it is
+//	a sends b     its counts, and how new its knowledge seems
+//	b queries a   if that is newer than its own
+//	a answers b   how new it is
 //
-// So that it is noticed when nobody knows anything newer, each asks a few in each round
-// as well. A datagram that is lost is made up for by the next round.
+// Each router also queries a few partners per round, to detect that nobody knows anything
+// newer. The next round makes up for a lost datagram.
 const (
-	// queryAllLimit is up to how many routers each asks all its partners in each round: few
-	// are heard there, and each is to be heard twice a round.
+	// queryAllLimit is the largest fleet in which each router queries all its partners in
+	// each round: few members are heard there, and each is to be heard twice a round.
 	queryAllLimit = 32
-	// queriesPerRound is how many of its partners a router of a larger fleet asks.
+	// queriesPerRound is how many partners a router of a larger fleet queries per round.
 	queriesPerRound = 2
-	// answerTimeout is how long an answer may take to come. Routers answer in some ms.
+	// answerTimeout is how long an answer may take. Routers answer in some ms.
 	answerTimeout = 2 * time.Second
-	// maxNewsQueries is how many questions for news may be open: a second one since the first
-	// may be lost, no more since many routers tell of the same news.
+	// maxNewsQueries bounds the open queries for news: two, since the first may be lost,
+	// and no more, since many routers send the same news.
 	maxNewsQueries = 2
-	// queryRetry is after how long a question for news is taken to be lost.
+	// queryRetry is the time after which a query for news counts as lost.
 	queryRetry = 100 * time.Millisecond
 )
 
-// query is one that was not answered yet.
+// query is an unanswered query.
 type query struct {
 	address string
 	at      time.Time
-	// forNews: it was asked since the other one seems to know more.
+	// forNews is set if the queried router seems to know more.
 	forNews bool
 }
 
-// nextQueried returns the first of a number of partners to be asked in this round, and how
-// many are: others each time.
+// nextQueried returns the first of a number of partners to query in this round, and how
+// many to query. Each round continues where the last one stopped.
 func (g *Gossip) nextQueried(partners int) (first, asks int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -55,10 +56,10 @@
 	return first, asks
 }
 
-// queriesAll tells whether all partners are asked in each round. g.mu is held.
+// queriesAll reports whether all partners are queried in each round. g.mu is held.
 func (g *Gossip) queriesAll() bool { return g.members.Len() <= queryAllLimit }
 
-// addQuery notes a question and returns its number.
+// addQuery records a query and returns its number.
 func (g *Gossip) addQuery(q query) uint32 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -67,7 +68,7 @@
 	return g.lastQuery
 }
 
-// expireQueries forgets questions that were not answered in time.
+// expireQueries forgets queries that were not answered in time.
 func (g *Gossip) expireQueries(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -78,7 +79,7 @@
 	}
 }
 
-// seemsNewer tells whether a router seems to know more than this one, by its word.
+// seemsNewer reports whether a router's digest claims more than this router knows.
 func (g *Gossip) seemsNewer(d *gossippb.Digest, now time.Time) bool {
 	if d.ProofMs == nil {
 		return false
@@ -88,7 +89,8 @@
 	return !g.holdersKnown.Load() || g.watcher.Behind(digestOf(d), proven)
 }
 
-// mayQuery tells whether a router may be asked for news beside those that are asked now.
+// mayQuery reports whether a router may be queried for news in addition to the open
+// queries.
 func (g *Gossip) mayQuery(address string, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,10 +109,10 @@
 	return open < maxNewsQueries
 }
 
-// maySayHello tells whether a router that has not said which data centre it is of may be
-// asked for it: once in a round. One that has none to say would be asked with each datagram
-// of its own, the question being one itself: two such routers asked each other as fast as
-// the network went, for 0.17 to 0.32 of a core each.
+// maySayHello reports whether a router with an unknown data centre may be asked for it,
+// which is once per round. A router without a data centre would otherwise be asked after
+// each of its datagrams, and the query is a datagram too: two such routers queried each
+// other as fast as the network allowed, using 0.17 to 0.32 of a core each.
 func (g *Gossip) maySayHello(address string, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,10 +129,12 @@
 	return true
 }
 
-// maxRecentHellos bounds the routers that are greeted in a round, forged senders among them.
+// maxRecentHellos bounds the routers that are sent a hello in a round, since senders may
+// be forged.
 const maxRecentHellos = 64
 
-// sendQuery asks a router for what it knows. Who has not met it says hello.
+// sendQuery queries a router for the state of its knowledge, with a hello if it may not
+// know this one.
 func (g *Gossip) sendQuery(address string, hello bool, now time.Time) {
 	d := &gossippb.Digest{AsksOnly: true, Ask: g.addQuery(query{address, now, true})}
 	if hello {
@@ -139,7 +143,7 @@
 	g.send(address, encodeDigest(d))
 }
 
-// handleAnswer takes the answer to a question of this router.
+// handleAnswer handles the answer to a query of this router.
 func (g *Gossip) handleAnswer(r *gossippb.Freshness, now time.Time) {
 	g.mu.Lock()
 	q, found := g.queries[r.Ask]
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -16,7 +16,7 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-// exchange makes one exchange and takes the other's knowledge if it is newer.
+// exchange performs one exchange and fetches the peer's knowledge if it is newer.
 func (g *Gossip) exchange(ctx context.Context, address string, digest *gossippb.Digest) {
 	defer func() {
 		g.mu.Lock()
@@ -38,8 +38,8 @@
 	}
 }
 
-// applyFreshness takes what a router that was asked at a time knows, and tells whether
-// that is to be learned.
+// applyFreshness applies the answer of a router that was queried at the time asked, and
+// reports whether to fetch its knowledge.
 func (g *Gossip) applyFreshness(address string, r *gossippb.Freshness, asked, now time.Time) bool {
 	if r.Stopping {
 		g.recordLeave(address, now)
@@ -57,13 +57,15 @@
 		return false
 	}
 	proven := asked.Add(-milliseconds(r.GetProofMs()))
-	// Whether the source answers somebody goes by the youngest that the proof may be.
+	// Whether the source answers anybody is judged by the youngest age that the proof can
+	// have.
 	g.watcher.ObservePeerProof(asked, now.Add(-milliseconds(r.GetProofMs())))
 	newer := g.watcher.ApplyPeerProof(digestOf(r), proven)
 	return newer || !g.holdersKnown.Load()
 }
 
-// recordMessage notes that a member spoke, regularly if it does so in each round.
+// recordMessage records a message from a member, and whether the member sends one in each
+// round.
 func (g *Gossip) recordMessage(address, dataCentre string, regularly bool, now time.Time) {
 	g.mu.Lock()
 	note := g.members.RecordContact
@@ -84,7 +86,7 @@
 	}
 }
 
-// recordLeave notes that a member said that it stops.
+// recordLeave records that a member announced its stop.
 func (g *Gossip) recordLeave(address string, now time.Time) {
 	g.mu.Lock()
 	g.members.RecordLeave(address, now)
@@ -93,8 +95,8 @@
 	g.balancer.RemovePeer(address)
 }
 
-// fetchKnowledge takes the knowledge of another router, of one at a time: when something
-// is new, many have it.
+// fetchKnowledge fetches the knowledge of another router, from one at a time: when
+// something is new, many routers have it.
 func (g *Gossip) fetchKnowledge(ctx context.Context, address string) {
 	if !g.fetching.CompareAndSwap(false, true) {
 		return
@@ -124,7 +126,7 @@
 	}
 }
 
-// decodeKnowledge reads what was answered to a router that has something.
+// decodeKnowledge decodes the reply to a router that already has some knowledge.
 func decodeKnowledge(reply *gossippb.KnowledgeReply, have watch.KnowledgeRequest) (watch.Knowledge, error) {
 	k := watch.Knowledge{Version: reply.Version, ListHash: reply.Mark, BaseHash: have.ListHash, Generation: reply.Generation, GenerationAge: milliseconds(reply.GenerationAgeMs)}
 	if len(reply.Facts) > 0 {
@@ -152,7 +154,7 @@
 	case int(reply.Parts) == len(have.PartHashes):
 		k.Excerpt = &directory.Excerpt{PartCount: int(reply.Parts), DifferingParts: reply.Differ, Listing: listing}
 	default:
-		return k, fmt.Errorf("%w: %d parts of a list, asked for %d", ErrMalformed, reply.Parts, len(have.PartHashes))
+		return k, fmt.Errorf("%w: list has %d parts, requested %d", ErrMalformed, reply.Parts, len(have.PartHashes))
 	}
 	return k, nil
 }
--- a/internal/gossip/forms.go
+++ b/internal/gossip/forms.go
@@ -6,11 +6,12 @@
 	"github.com/croftyard/croftyard/internal/gossip/gossippb"
 )
 
-// Routers of two builds run side by side during an upgrade, and one that knows less of an
-// entry names the same list by another mark. Told in its own form it sees that it has the
-// same; else it would take the whole list with each new proof.
+// During an upgrade routers of two builds run side by side, and one that knows fewer
+// fields of an entry computes another mark for the same list. It gets the mark in its own
+// form, to see that it has the same list; otherwise it would fetch the whole list with
+// each new proof.
 
-// recordForm notes in which form a router names lists.
+// recordForm records in which form a router marks lists.
 func (g *Gossip) recordForm(d *gossippb.Digest) {
 	if d.ProofMs == nil {
 		return
@@ -28,29 +29,29 @@
 	}
 }
 
-// forgetForm forgets in which form a router names lists.
+// forgetForm forgets in which form a router marks lists.
 func (g *Gossip) forgetForm(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.plain, address)
 }
 
-// usesPlainForm tells whether a router names lists as older builds do.
+// usesPlainForm reports whether a router marks lists as older builds do.
 func (g *Gossip) usesPlainForm(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.plain[address]
 }
 
-// OlderFormatPeers returns how many of the routers known are of a build that names lists in an older
-// form.
+// OlderFormatPeers returns how many of the known routers run a build that marks lists in
+// an older form.
 func (g *Gossip) OlderFormatPeers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.plain)
 }
 
-// inPlainForm returns a digest as older builds understand it.
+// inPlainForm returns a digest with the list mark that older builds compute.
 func (g *Gossip) inPlainForm(d *gossippb.Digest) *gossippb.Digest {
 	if d == nil || d.ProofMs == nil {
 		return d
