--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,16 +1,16 @@
-// Package gossip lets routers that serve routes act together: each tells the
-// others what it runs, which replicas failed it and which hold what, and learns
-// from them how new their knowledge is.
+// Package gossip shares state between the routers that serve routes: each sends the
+// others its requests in flight, the failures of replicas that it saw and which replicas
+// hold which parts of prompts, and learns how new their knowledge is.
 //
-//	Exchange   what I run and saw  ->  how new your knowledge is
-//	Knowledge  my version and mark ->  the configuration and replicas, if newer
+//	Exchange   own requests and observations -> how new the peer's knowledge is
+//	Knowledge  own version and mark          -> the configuration and replicas, if newer
 //
-// A small fleet exchanges by calls, each with each. In a large one the same is told in
-// datagrams, and only some of it is answered (ask.go).
+// In a small fleet each router calls each other one. A large fleet sends the same in
+// datagrams, only some of which are answered (ask.go).
 //
-// Everything told is a hint but for the proof of the configuration, which is
-// dated from the time of asking less the age that was answered. A router that is
-// told nothing works on by itself.
+// All received state is a hint except the proof of the configuration, which is dated from
+// the time of the query less the age in the answer. A router that receives nothing works
+// by itself.
 package gossip
 
 import (
@@ -33,49 +33,49 @@
 	"github.com/croftyard/croftyard/pkg/poison"
 )
 
-// Options of a gossip.
+// Options configures a Gossip.
 type Options struct {
-	// Address is where the others reach this router.
+	// Address is where other routers reach this one.
 	Address string
-	// DataCentre is this router's.
+	// DataCentre is the data centre of this router.
 	DataCentre string
 	Seeds      []string
 	// Period is the pause between two rounds.
 	Period time.Duration
-	// Poison holds the marks against requests; nil: marks of its own.
+	// Poison holds the marks against requests; if nil, Start creates a memory.
 	Poison *poison.Tracker
 }
 
 const (
-	// maxPartners is up to how many members are all partners: what that takes grows with
-	// their square. There is room for some that were replaced and not yet forgotten, so
-	// that a small fleet does not change its manner for it.
+	// maxPartners is up to how many members are all partners: the cost of that grows with
+	// their square. It leaves room for members that were replaced and not yet forgotten,
+	// so that a small fleet does not switch to the manner of a large one because of them.
 	maxPartners = 11
-	// maxRows bounds the members that one hello tells.
+	// maxRows bounds the members in one hello.
 	maxRows = 16
-	// helloRounds is after how many rounds members are told again.
+	// helloRounds is the number of rounds between two hellos.
 	helloRounds = 8
-	// largeRoundFactor is how many rounds of a small fleet make one of a large one, in
-	// which a router has more partners and tells them of its line. While many replicas
-	// are idle each round is one: the others are nearer to the bound then, and what is
-	// counted late piles up beyond it.
+	// largeRoundFactor is how many rounds of a small fleet make one of a large fleet, in
+	// which a router has more partners and sends them the counts of its line. While many
+	// replicas are idle each round is one: the others are nearer to the bound then, and
+	// requests that are counted late exceed it.
 	largeRoundFactor = 2
-	// largeHelloRounds is helloRounds of a large fleet, where members that are new and
-	// those that live are told besides.
+	// largeHelloRounds is helloRounds of a large fleet, which also sends new and live
+	// members between hellos.
 	largeHelloRounds = 8
-	// callTimeout bounds an exchange, and learnTimeout the taking of another
-	// router's knowledge, which may be large and come over a narrow link.
+	// callTimeout bounds an exchange, and knowledgeTimeout fetching another router's
+	// knowledge, which may be large and come over a narrow link.
 	callTimeout      = 500 * time.Millisecond
 	knowledgeTimeout = time.Second
-	// keptTimeout is for how long a kept connection may leave an exchange without an
-	// answer: routers answer in some ms, and in half a round the call on a new one
-	// still ends before the next round begins, so that none is lost. The taking of
-	// knowledge has no such bound: it follows an exchange on the same connection, and
-	// what comes over a narrow link would have to come twice.
+	// keptTimeout is how long an exchange on a reused connection may go unanswered.
+	// Routers answer in some ms, and with half a round the call on a new connection still
+	// ends before the next round begins, so that no exchange is lost. Fetching knowledge
+	// has no such bound: it follows an exchange on the same connection, and over a narrow
+	// link the reply would have to be sent twice.
 	keptTimeout = 150 * time.Millisecond
 )
 
-// Gossip is safe for concurrent use.
+// Gossip shares state with other routers. It is safe for concurrent use.
 type Gossip struct {
 	options  Options
 	log      *event.Log
@@ -85,18 +85,21 @@
 	meter    *peer.Meter
 	client   *peer.Client
 	server   *peer.Server
-	// datagrams carry what is told in a large fleet; unsent counts those that were not.
+	// datagrams sends the messages of a large fleet; unsent counts those that could not
+	// be sent.
 	datagrams *peer.Datagrams
 	unsent    atomic.Uint64
 
-	// holdersKnown: the holders of parts are known, from a peer or from the engines.
+	// holdersKnown is set once the holders of parts are known, from a peer or from the
+	// engines.
 	holdersKnown atomic.Bool
-	// fetching: another router is being asked for its knowledge.
+	// fetching is set while another router's knowledge is fetched.
 	fetching atomic.Bool
-	// budget bounds what is passed on; refused counts who was not answered for it.
+	// budget bounds the knowledge that is sent; refused counts the requests that exceeded
+	// it.
 	budget  sendBudget
 	refused atomic.Uint64
-	// config and listing are what was passed on last.
+	// config and listing cache the encoded values that were sent last.
 	config  atomic.Pointer[packed[uint64]]
 	listing atomic.Pointer[packed[listKey]]
 
@@ -105,30 +108,31 @@
 	// partners are those of the last round.
 	partners membership.Partners
 	busy     map[string]bool
-	// deferred are the rumors for partners that were busy.
+	// deferred holds the rumors for partners that were busy.
 	deferred map[string]*gossippb.Digest
-	// plain are the members that name lists as older builds do.
+	// plain holds the members that mark lists as older builds do.
 	plain map[string]bool
-	// centres are the members' data centres, as they told.
+	// centres maps members to the data centres that they reported.
 	centres map[string]string
-	// announcedChanges is the count of changes of the members that the balancer was told of.
+	// announcedChanges is the change count of the members that were last passed to the
+	// balancer.
 	announcedChanges uint64
 	round            int
 	hellos           int
 	stopped          bool
-	// queries are those that were not answered, by number; turns counts the partners
-	// that were asked in turn.
+	// queries holds the unanswered queries by number; queryOffset counts the partners
+	// that were queried in turn.
 	queries     map[uint32]query
 	lastQuery   uint32
 	queryOffset int
-	// recentHellos are the routers that were asked lately of which data centre they are.
+	// recentHellos holds when routers were last asked for their data centre.
 	recentHellos map[string]time.Time
-	// ctx ends with the gossip.
+	// ctx ends when the gossip stops.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// Start listens for other routers.
+// Start returns a Gossip that listens for other routers.
 func Start(o Options, f *watch.Watcher, b *balance.Balancer, log *event.Log) (*Gossip, error) {
 	if o.Poison == nil {
 		o.Poison = poison.New(poison.Options{})
@@ -160,15 +164,15 @@
 	return g, nil
 }
 
-// portAttempts is how often a port is drawn, where the settings leave it to the system:
-// one that is free for connections may be taken for datagrams.
+// portAttempts bounds the ports that are tried if the settings leave the choice to the
+// system: a port that is free for connections may be in use for datagrams.
 const portAttempts = 5
 
 // listen opens the address for connections and for datagrams.
 //
-// Others that know this router's address call as soon as it listens, and its table
-// of members has that address in it: they wait. One that started among four others
-// met a call without a table, and ended.
+// It holds g.mu because peers that know this router's address call as soon as it listens,
+// and the table of members needs that address. A router that started among four others
+// received a call before it had a table, and crashed.
 func (g *Gossip) listen() error {
 	g.mu.Lock()
 	server, err := peer.ListenWith(g.options.Address, func(mux *drpcmux.Mux) error {
@@ -191,21 +195,21 @@
 // Address returns where the others reach this router.
 func (g *Gossip) Address() string { return g.server.Address() }
 
-// Rank returns this router's place among those that it knows.
+// Rank returns this router's rank among those that it knows.
 func (g *Gossip) Rank() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.members.Rank()
 }
 
-// HoldersKnown tells whether it is known who holds which parts.
+// HoldersKnown reports whether the holders of parts are known.
 func (g *Gossip) HoldersKnown() bool { return g.holdersKnown.Load() }
 
-// SetHoldersKnown notes that the engines were asked, so that no peer has to be.
+// SetHoldersKnown records that the engines were queried, so that no peer has to be.
 func (g *Gossip) SetHoldersKnown() { g.holdersKnown.Store(true) }
 
-// OwnsTask tells whether, of the routers known, this one is to do a task: each task
-// is one router's, as long as all know the same routers.
+// OwnsTask reports whether this router is to do a task. Each task has one owner, as long
+// as all routers know the same routers.
 func (g *Gossip) OwnsTask(task string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -266,7 +270,7 @@
 	g.server.Close()
 }
 
-// Leave tells the others that this router stops.
+// Leave makes the next messages tell the others that this router stops.
 func (g *Gossip) Leave() {
 	g.mu.Lock()
 	g.stopped = true
