--- a/internal/gossip/marks.go
+++ b/internal/gossip/marks.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// marksDelay is how long after the first mark others are told: all requests that a
-	// crash broke off end within some milliseconds.
+	// marksDelay is the delay between the first mark and its sending: all requests that a
+	// crash aborted end within some milliseconds.
 	marksDelay = 5 * time.Millisecond
-	// maxHelloMarks is of how many requests a hello tells the marks, so that it fits a
-	// datagram; it tells nothing as long as no replica crashes.
+	// maxHelloMarks bounds the requests whose marks a hello carries, so that it fits a
+	// datagram. It carries none as long as no replica crashes.
 	maxHelloMarks = 64
 )
 
-// sendMarks tells all partners of marks against requests, beside the rounds: until all
-// know, each router sends a request that crashes replicas to one more.
+// sendMarks sends marks against requests to all partners, outside of the rounds: until
+// all know them, each router sends a request that crashes replicas to one more.
 func (g *Gossip) sendMarks(ctx context.Context, now time.Time) {
 	marks := encodeMarks(g.poison.TakePending(), now)
 	if marks == nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// mergeMarks takes marks that another router told.
+// mergeMarks merges marks that another router sent.
 func (g *Gossip) mergeMarks(m *gossippb.Marks, now time.Time) {
 	marks := decodeMarks(m, now)
 	if len(marks) == 0 {
@@ -70,8 +70,8 @@
 	return m
 }
 
-// decodeMarks reads marks. Columns of unequal length are read as far as they all go, and
-// digests of another size left out.
+// decodeMarks decodes marks. It reads columns of unequal length up to the shortest, and
+// skips digests of another size.
 func decodeMarks(m *gossippb.Marks, now time.Time) []poison.Mark {
 	var marks []poison.Mark
 	add := func(digest []byte, replica, ageMs uint32, served bool) {
--- a/internal/gossip/news.go
+++ b/internal/gossip/news.go
@@ -7,13 +7,14 @@
 	"github.com/croftyard/croftyard/pkg/membership"
 )
 
-// newsDelay is how long after a change of the configuration or of the list it is told:
-// changes come several at a time, and two steps of it are nothing to what a round takes.
+// newsDelay is the delay between a change of the configuration or of the list and its
+// sending: changes come several at a time, and the delay of two hops is negligible beside
+// a round.
 const newsDelay = 20 * time.Millisecond
 
 // sendNews tells the partners of a large fleet that this router knows something new,
-// beside the rounds: waiting for two of them sends requests to replicas that leave, and holds
-// up what the operator has changed.
+// outside of the rounds: waiting for two of them sends requests to replicas that leave,
+// and delays the operator's changes.
 func (g *Gossip) sendNews(now time.Time) {
 	g.mu.Lock()
 	large, partners := g.members.Large(), g.partners
@@ -26,7 +27,7 @@
 	g.sendAll(partners, d)
 }
 
-// sendAll sends a digest to all partners in a large fleet.
+// sendAll sends a digest to all partners of a large fleet.
 func (g *Gossip) sendAll(partners membership.Partners, d *gossippb.Digest) {
 	packets := packetCache{g: g}
 	for _, address := range partners.Line {
--- a/internal/gossip/rumors.go
+++ b/internal/gossip/rumors.go
@@ -9,14 +9,14 @@
 	"github.com/croftyard/croftyard/pkg/membership"
 )
 
-// rumorFanout is how many partners of a large fleet are told a rumor, others each
-// time, in each round of a small one. Each of them passes on what is new to it, so that a
-// rumor is sooner with all, and takes fewer bytes, than if all were told in each round of a
-// large one.
+// rumorFanout is how many random partners a router of a large fleet sends rumors to in
+// each round of a small one. Each partner forwards what is new to it, so that a rumor
+// reaches all sooner, and in fewer bytes, than if it were sent to all in each round of a
+// large fleet.
 const rumorFanout = 12
 
-// sendRumors tells some partners in a large fleet what this router saw or was told
-// since the last round of a small one.
+// sendRumors sends some partners of a large fleet what this router saw or received since
+// the last round of a small one.
 func (g *Gossip) sendRumors(partners membership.Partners, now time.Time) {
 	rumors := g.balancer.TakeRumors()
 	if rumors.Empty() {
