--- a/internal/gossip/pack.go
+++ b/internal/gossip/pack.go
@@ -10,18 +10,18 @@
 	"sync"
 )
 
-// ErrMalformed: a packed value can't be read.
+// ErrMalformed reports a packed value that can't be decoded.
 var ErrMalformed = errors.New("gossip: packed value not readable")
 
-// maxUnpacked bounds what a packed value may grow to, in bytes.
+// maxUnpacked bounds the size of an unpacked value, in bytes.
 const maxUnpacked = 64 << 20
 
-// gzipWriters are used again: one takes more memory than all else that a router allocates for
-// what it passes on.
+// gzipWriters are reused: one takes more memory than all else that a router allocates to
+// send its knowledge.
 var gzipWriters = sync.Pool{New: func() any { return gzip.NewWriter(nil) }}
 
-// pack encodes a value for another router: in a large configuration much is alike, and a link
-// may be narrow.
+// pack encodes a value for another router. It compresses it, since a large configuration
+// is repetitive and a link may be narrow.
 func pack(value any) ([]byte, error) {
 	var out bytes.Buffer
 	writer := gzipWriters.Get().(*gzip.Writer)
--- a/internal/gossip/round.go
+++ b/internal/gossip/round.go
@@ -10,7 +10,7 @@
 	"github.com/croftyard/croftyard/internal/steady"
 )
 
-// runRound is one round: it tells the partners.
+// runRound runs one round: it sends this router's state to the partners.
 func (g *Gossip) runRound(ctx context.Context) {
 	now := steady.Now()
 	g.mu.Lock()
@@ -43,12 +43,12 @@
 		g.exchangeAll(ctx, partners.Line, d, round%helloRounds == 0)
 	}
 	for _, address := range partners.Seeds {
-		// Whose line a seed is of is not known.
+		// The line of a seed is not known.
 		g.startExchange(ctx, address, &gossippb.Digest{Sender: g.server.Address(), Stopping: d.own.Stopping, AsksOnly: true}, d)
 	}
 }
 
-// exchangeAll exchanges with all others, in a small fleet.
+// exchangeAll exchanges with all partners of a small fleet.
 func (g *Gossip) exchangeAll(ctx context.Context, partners []string, d digests, hello bool) {
 	own := d.own
 	if hello {
@@ -71,9 +71,9 @@
 	}
 }
 
-// startExchange begins an exchange with a partner unless one is under way: then what the
-// digest tells once is kept for the next round. Who may not know this router is
-// told hello.
+// startExchange starts an exchange with a partner unless one is in progress; then it
+// keeps the rumors of the digest for the next round. A partner that may not know this
+// router gets a hello.
 func (g *Gossip) startExchange(ctx context.Context, address string, digest *gossippb.Digest, d digests) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -93,7 +93,7 @@
 	go g.exchange(ctx, address, digest)
 }
 
-// maxDeferred bounds the failures, and the marks, that are kept for a partner that is busy.
+// maxDeferred bounds the failures, and the marks, that are kept for a busy partner.
 const maxDeferred = 64
 
 // deferRumors keeps the rumors of a digest for a partner. g.mu is held.
--- a/internal/gossip/silence.go
+++ b/internal/gossip/silence.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// silentRounds is for how many rounds all members of a data centre are silent
-	// before it is taken to be cut off. Each of them is heard twice a round, when
-	// it asks and when it answers, so that is several times missed already; and
-	// the first that is heard ends it.
+	// silentRounds is for how many rounds all members of a data centre must be silent
+	// before it counts as cut off. Each member is heard twice a round, when it queries
+	// and when it answers, so several messages are missing by then. The first message
+	// that is heard ends the silence.
 	silentRounds = 1.3
-	// fewSilentRounds is the same for a data centre of which only fewMembers are heard,
-	// where each is heard once a round: one datagram of each may be lost.
+	// fewSilentRounds is the same for a data centre of which at most fewMembers are
+	// heard, each once a round: one datagram of each may be lost.
 	fewSilentRounds = 2.2
 	fewMembers      = 2
-	// silenceChecks is how often in a round that is looked at.
+	// silenceChecks is the number of checks for silent data centres per round.
 	silenceChecks = 4
 )
 
-// period is the pause between two rounds of this router. g.mu is held.
+// period is the time between two rounds of this router. g.mu is held.
 func (g *Gossip) period() time.Duration {
 	if g.members.Large() {
 		return largeRoundFactor * g.options.Period
@@ -28,10 +28,10 @@
 	return g.options.Period
 }
 
-// silentCentres returns the other data centres of which no member was heard for
-// a moment, while somebody was. One member alone may have died. In a large fleet
-// those count that speak to this router itself: of the others it hears late.
-// g.mu is held.
+// silentCentres returns the other data centres of which no member was heard lately, while
+// some router was. A data centre with one member is left out, since that may have died.
+// In a large fleet only members that contact this router itself count: it hears late of
+// the others. g.mu is held.
 func (g *Gossip) silentCentres(now time.Time) []string {
 	limit := time.Duration(silentRounds * float64(g.period()))
 	fewLimit := limit
@@ -39,7 +39,7 @@
 		fewLimit = time.Duration(fewSilentRounds * float64(g.period()))
 	}
 	members := make(map[string]int)
-	// youngest is how long ago a member of each was heard last.
+	// youngest is the time since a member of each data centre was last heard.
 	youngest := make(map[string]time.Duration)
 	anyone := false
 	look := g.members.Rows
@@ -66,8 +66,8 @@
 	return names
 }
 
-// reportSilentCentres notes the data centres that fell silent. One that is heard again
-// is noted at once.
+// reportSilentCentres reports the data centres that fell silent. The next message from
+// one ends that at once.
 func (g *Gossip) reportSilentCentres(now time.Time) {
 	g.mu.Lock()
 	silent := g.silentCentres(now)
