--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -22,7 +22,7 @@
 	return reply, nil
 }
 
-// applyDigest takes what a router tells.
+// applyDigest applies a digest from another router.
 func (g *Gossip) applyDigest(d *gossippb.Digest, now time.Time) {
 	if d.Stopping {
 		g.recordLeave(d.Sender, now)
@@ -47,7 +47,7 @@
 	g.members.MergeAliveHashes(d.Alive, now)
 }
 
-// answer tells a router how new this one's knowledge is.
+// answer returns how new this router's knowledge is.
 func (g *Gossip) answer(d *gossippb.Digest, now time.Time) *gossippb.Freshness {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,7 +65,7 @@
 	return reply
 }
 
-// ownDigest returns what this router ownDigest and how old the proof is, which is nil before
+// ownDigest returns what this router knows and the age of the proof, which is nil before
 // there is one.
 func (g *Gossip) ownDigest(now time.Time) (word watch.Digest, proofMs *uint32) {
 	if !g.watcher.Initialized() {
@@ -75,7 +75,7 @@
 	return g.watcher.Digest(), &age
 }
 
-// addOwnDigest adds to a digest what this router knows.
+// addOwnDigest adds what this router knows to a digest.
 func (g *Gossip) addOwnDigest(d *gossippb.Digest, now time.Time) {
 	if age, failed := g.watcher.LastFailure(now); failed {
 		milliseconds := uint32(age.Milliseconds())
@@ -85,7 +85,7 @@
 	d.Version, d.Mark, d.Generation, d.Facts, d.ProofMs = word.Version, word.ListHash, word.Generation, word.FactsHash, age
 }
 
-// digestOf is what a digest or an answer says that its sender knows.
+// digestOf returns what the sender of a digest or an answer knows.
 func digestOf(m interface {
 	GetVersion() uint64
 	GetMark() uint64
@@ -95,7 +95,7 @@
 	return watch.Digest{Version: m.GetVersion(), ListHash: m.GetMark(), Generation: m.GetGeneration(), FactsHash: m.GetFacts()}
 }
 
-// mergeCounts takes what a router tells of itself or of its line.
+// mergeCounts merges the counts that a router sends for itself or for its line.
 func (g *Gossip) mergeCounts(d *gossippb.Digest, now time.Time) {
 	told := decodeDigest(d, now)
 	if d.Lines > 0 {
@@ -106,20 +106,21 @@
 	g.balancer.MergePeer(d.Sender, told, now)
 }
 
-// packed is one state of a value in the wire form.
+// packed is one state of a value in wire form.
 type packed[K comparable] struct {
 	key  K
 	text []byte
 }
 
-// listKey names a list as it is passed on: how long replicas stay cold counts from
-// the read.
+// listKey identifies an encoded list. It includes the time of the read, from which the
+// remaining cold time of replicas counts.
 type listKey struct {
 	mark uint64
 	read time.Time
 }
 
-// packOnce packs each state of a value once: when something is new, many ask for it.
+// packOnce packs each state of a value once: when something is new, many routers request
+// it.
 func packOnce[K comparable](last *atomic.Pointer[packed[K]], key K, value any) ([]byte, error) {
 	if p := last.Load(); p != nil && p.key == key {
 		return p.text, nil
@@ -132,7 +133,7 @@
 	return text, nil
 }
 
-// maxGenerationAge is the greatest age of a generation that is told: long past any hold.
+// maxGenerationAge caps the age of a generation that is sent. It is far above any hold.
 const maxGenerationAge = time.Hour
 
 // Knowledge implements the generated interface.
@@ -151,7 +152,7 @@
 		reply.Part, reply.Holder = encodeHolders(g.balancer.Holders(steady.Now()))
 	}
 	if !g.budget.allow(proto.Size(reply), steady.Now()) {
-		// The caller goes on with what it has, and asks whoever it hears from next.
+		// The caller keeps what it has, and queries the next router that it hears from.
 		g.refused.Add(1)
 		return &gossippb.KnowledgeReply{}, nil
 	}
@@ -159,7 +160,7 @@
 	return reply, nil
 }
 
-// encodeKnowledge adds the configuration and the list, or what of it is told.
+// encodeKnowledge adds the configuration and the list, or an excerpt of it.
 func (g *Gossip) encodeKnowledge(reply *gossippb.KnowledgeReply, k watch.Knowledge) (err error) {
 	if k.Config != nil {
 		if reply.Configuration, err = packOnce(&g.config, k.Version, k.Config); err != nil {
--- a/internal/gossip/teach.go
+++ b/internal/gossip/teach.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// knowledgeRate is how much knowledge a router passes on, in bytes a second: most of a
-	// link of 10 Mbit/s, the narrowest that the users have.
+	// knowledgeRate is how much knowledge a router sends, in bytes per second: most of a
+	// link of 10 Mbit/s, the narrowest that users have.
 	knowledgeRate = 1 << 20
-	// maxBacklog is how much may be on its way, as time at teachRate. What is answered
-	// last so comes well within learnTimeout.
+	// maxBacklog bounds the replies in transit, as time at knowledgeRate, so that the
+	// last one arrives well within knowledgeTimeout.
 	maxBacklog = 300 * time.Millisecond
 )
 
-// sendBudget bounds what a router passes on. When a large fleet starts, or the operator
-// changes much, some hundred ask the few that know at once. If all were answered over a
-// narrow link none would have its answer in time. So a few are answered at a time, and those
-// can answer the others.
+// sendBudget bounds the knowledge that a router sends. When a large fleet starts, or the
+// operator changes much, some hundred routers query the few that know at once. If all
+// were answered over a narrow link, none would get its answer in time. So a few are
+// answered at a time, and those can answer the others.
 //
 // It is safe for concurrent use.
 type sendBudget struct {
 	mu sync.Mutex
-	// drained is when all that was answered has left, by teachRate.
+	// drained is when all replies will have left, at knowledgeRate.
 	drained time.Time
 }
 
-// allow tells whether an answer of some bytes may leave now.
+// allow reports whether a reply of some bytes may be sent now, and counts it if so.
 func (t *sendBudget) allow(bytes int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -40,6 +40,6 @@
 	return true
 }
 
-// RefusedRequests returns how many questions for knowledge were not answered since too much was
-// on its way.
+// RefusedRequests returns how many requests for knowledge were refused because too much
+// was in transit.
 func (g *Gossip) RefusedRequests() uint64 { return g.refused.Load() }
