--- a/internal/gossip/tell.go
+++ b/internal/gossip/tell.go
@@ -12,12 +12,12 @@
 	"github.com/croftyard/croftyard/pkg/membership"
 )
 
-// aliveInterval is how often the members of a line that live are told, in rounds of a
-// large fleet: each is so heard of some times before it would be forgotten.
+// aliveInterval is the number of rounds of a large fleet between two reports of the live
+// members of a line. Each member is reported several times before it would be forgotten.
 const aliveInterval = 2
 
-// sendRound tells the partners in a large fleet, each in a datagram, and asks some of them.
-// The datagrams that ask nothing are all alike, and encoded once.
+// sendRound sends each partner of a large fleet a datagram, and queries some of them. The
+// datagrams without a query are identical, and encoded once.
 func (g *Gossip) sendRound(partners membership.Partners, d digests, hello bool, now time.Time) {
 	g.expireQueries(now)
 	all := len(partners.Line) + len(partners.RelayTo)
@@ -43,7 +43,8 @@
 	}
 }
 
-// packetCache are digests that are told to many, each encoded once in each form.
+// packetCache holds digests that are sent to many routers, each encoded once in each
+// form.
 type packetCache struct {
 	g       *Gossip
 	encoded map[packetKey][]byte
@@ -54,7 +55,7 @@
 	plain  bool
 }
 
-// get returns a digest as a router understands it.
+// get returns a digest, encoded in the form that a router uses.
 func (p *packetCache) get(digest *gossippb.Digest, address string) []byte {
 	key := packetKey{digest, p.g.usesPlainForm(address)}
 	packet, done := p.encoded[key]
@@ -72,7 +73,7 @@
 	return packet
 }
 
-// withQuery returns a digest that asks for an answer, with a hello or without.
+// withQuery returns a digest that requests an answer, with or without a hello.
 func (g *Gossip) withQuery(address string, digest *gossippb.Digest, d digests, hello bool, now time.Time) *gossippb.Digest {
 	if hello {
 		digest = d.withHello(digest)
@@ -83,7 +84,7 @@
 	return digest
 }
 
-// centreUnknown tells whether a member has not said which data centre it is of.
+// centreUnknown reports whether a member has not reported its data centre.
 func (g *Gossip) centreUnknown(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,8 +93,8 @@
 
 func encodeDigest(d *gossippb.Digest) []byte { return encodeDatagram(&gossippb.Datagram{Digest: d}) }
 
-// encodeDatagram returns nil for what can't be encoded, a text that is no UTF-8: names
-// and addresses are checked when the settings are read.
+// encodeDatagram returns nil if a text is not valid UTF-8. Names and addresses are
+// checked when the settings are read.
 func encodeDatagram(d *gossippb.Datagram) []byte {
 	packet, err := proto.Marshal(d)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return packet
 }
 
-// send sends a datagram to a member, whose address is one it listens at.
+// send sends a datagram to a member at the address on which it listens.
 func (g *Gossip) send(address string, packet []byte) {
 	to, err := netip.ParseAddrPort(address)
 	if err == nil && len(packet) <= peer.MaxDatagram {
@@ -116,7 +117,7 @@
 // UnsentDatagrams returns how many datagrams could not be sent.
 func (g *Gossip) UnsentDatagrams() uint64 { return g.unsent.Load() }
 
-// handleDatagram takes what another router sent.
+// handleDatagram handles a datagram from another router.
 func (g *Gossip) handleDatagram(from netip.AddrPort, packet []byte) {
 	var d gossippb.Datagram
 	if proto.Unmarshal(packet, &d) != nil {
@@ -125,7 +126,8 @@
 	now := steady.Now()
 	switch {
 	case d.Digest != nil:
-		// A datagram that names another sender would have this router send to whom it names.
+		// Trusting a sender named in the datagram would let it direct this router's
+		// datagrams elsewhere.
 		d.Digest.Sender = from.String()
 		g.handleDigest(d.Digest, now)
 	case d.Answer != nil:
@@ -133,8 +135,8 @@
 	}
 }
 
-// handleDigest takes a digest that came in a datagram, answers it if it asks, and asks
-// back if its sender seems to know more.
+// handleDigest applies a digest from a datagram, answers its query if it has one, and
+// queries the sender if that seems to know more.
 func (g *Gossip) handleDigest(d *gossippb.Digest, now time.Time) {
 	g.applyDigest(d, now)
 	if d.Ask != 0 {
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -13,14 +13,14 @@
 
 // digests are the messages of one round.
 type digests struct {
-	// own tells what this router runs, line what its line runs. line is nil in a
-	// small fleet.
+	// own has the counts of this router, line those of its line. line is nil in a small
+	// fleet.
 	own, line *gossippb.Digest
 	// hello is what a hello adds to either.
 	hello *gossippb.Digest
 }
 
-// digests returns what is told in this round.
+// digests returns the messages of this round.
 func (g *Gossip) digests(now time.Time, large bool) digests {
 	told := g.balancer.TakePeerUpdate(now)
 	g.mu.Lock()
@@ -33,7 +33,7 @@
 	encodeRows(rumors, g.members.TakeNew(maxRows, now))
 	encodeRumors(rumors, told.Rumors, now)
 	if !large {
-		// In a large fleet each mark comes over many ways at once, and what is told again
+		// In a large fleet each mark arrives over many paths at once, and a repetition
 		// would go to some twenty partners of each router.
 		rumors.Marks = encodeMarks(g.poison.Recent(now), now)
 	}
@@ -63,7 +63,7 @@
 	return d
 }
 
-// withHello returns a digest withHello a hello.
+// withHello returns a copy of a digest with a hello.
 func (d digests) withHello(digest *gossippb.Digest) *gossippb.Digest {
 	both := proto.CloneOf(digest)
 	proto.Merge(both, d.hello)
@@ -110,8 +110,8 @@
 	return parts, replicas
 }
 
-// rows returns members in the wire form, another part of them in each hello.
-// g.mu is held.
+// rows returns members in wire form, a different part of them in each hello. g.mu is
+// held.
 func (g *Gossip) rows(now time.Time) (addresses []string, ages []uint32) {
 	g.hellos++
 	var d gossippb.Digest
@@ -129,8 +129,8 @@
 
 func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// decodeDigest reads a digest. Columns of unequal length are read as far as they all
-// go, so that a damaged message cannot harm.
+// decodeDigest decodes a digest. It reads columns of unequal length up to the shortest,
+// so that a damaged message can do no harm.
 func decodeDigest(d *gossippb.Digest, now time.Time) balance.PeerUpdate {
 	var t balance.PeerUpdate
 	for i := range min(len(d.Replica), len(d.Running)) {
@@ -146,7 +146,7 @@
 	return t
 }
 
-// decodeSingles reads pairs of bytes; an odd one at the end is left out.
+// decodeSingles decodes pairs of bytes, and ignores an odd byte at the end.
 func decodeSingles(b []byte) []uint16 {
 	var singles []uint16
 	for ; len(b) >= 2; b = b[2:] {
