--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -17,8 +17,8 @@
 	"github.com/croftyard/croftyard/pkg/balance"
 )
 
-// largeFleet starts so many routers that they tell each other in datagrams. The source
-// turns all away; seeds are the first two.
+// largeFleet starts enough routers that they communicate in datagrams. The source refuses
+// all of them; seeds are the first two.
 func largeFleet(t *testing.T, routers int) []*router {
 	t.Helper()
 	var fleet []*router
@@ -46,13 +46,14 @@
 				table := r.holder.Current().Table
 				return r.balancer.ReadyCount("s") == len(list) && table != nil && table.Version() == version
 			})
-			assert.False(t, r.holder.Current().ProvenAt.After(read), "a proof gains nothing on its way")
+			assert.False(t, r.holder.Current().ProvenAt.After(read), "a proof does not get newer in transit")
 			assert.Zero(t, r.source.reads)
 		}
 	}
 }
 
-// Each is told what all others run: by those of its line, and by one of each other line.
+// The counts of each router arrive from the members of its line, and through one member
+// of each other line.
 func TestLargeFleetKnowsCountsOfAll(t *testing.T) {
 	fleet := largeFleet(t, 2*maxPartners)
 	for _, r := range fleet {
@@ -68,7 +69,7 @@
 	}
 }
 
-// Each is told by some, and tells some.
+// Each router receives the rumor from some partners and forwards it to some.
 func TestRumorReachesLargeFleet(t *testing.T) {
 	fleet := largeFleet(t, 2*maxPartners)
 	for _, r := range fleet {
@@ -85,7 +86,7 @@
 	}
 }
 
-// What a datagram tells may have been under way for long: it proves nothing.
+// A datagram may have been in transit for long, so that the age in it proves nothing.
 func TestUnsolicitedDigestIsNoProof(t *testing.T) {
 	r := newIdleRouter(t, &source{})
 	read := time.Now().Add(-time.Minute)
@@ -96,20 +97,20 @@
 	told := &gossippb.Digest{Sender: "127.0.0.1:9", DataCentre: "there", Version: version, Mark: mark, ProofMs: &proofMs}
 	r.gossip.handleDigest(told, now)
 	assert.Equal(t, read, r.holder.Current().ProvenAt)
-	require.Len(t, r.gossip.queries, 1, "it asks")
+	require.Len(t, r.gossip.queries, 1, "it queries the sender")
 	asked := now.Add(-50 * time.Millisecond)
 	for number := range r.gossip.queries {
 		r.gossip.handleAnswer(&gossippb.Freshness{Ask: number + 1, Version: version, Mark: mark, ProofMs: &proofMs}, now)
-		assert.Equal(t, read, r.holder.Current().ProvenAt, "an answer to nothing")
+		assert.Equal(t, read, r.holder.Current().ProvenAt, "an answer without a query")
 		r.gossip.queries[number] = query{address: told.Sender, at: asked}
 		r.gossip.handleAnswer(&gossippb.Freshness{Ask: number, Version: version, Mark: mark, ProofMs: &proofMs}, now)
 	}
-	assert.Equal(t, asked, r.holder.Current().ProvenAt, "from when it was asked")
+	assert.Equal(t, asked, r.holder.Current().ProvenAt, "dated from the query")
 	assert.Empty(t, r.gossip.queries)
 }
 
-// All partners tell of the same news within a round.
-func TestFewAreAskedForTheSameNews(t *testing.T) {
+// All partners send the same news within a round.
+func TestNewsQueriesAreBounded(t *testing.T) {
 	cases := map[string]struct {
 		version uint64
 		age     time.Duration
@@ -146,23 +147,23 @@
 	}
 }
 
-func TestWhoDoesNotAnswerIsAskedAgainAndForgotten(t *testing.T) {
+func TestUnansweredQueryIsRetriedAndExpires(t *testing.T) {
 	r := newIdleRouter(t, &source{})
 	now := time.Now()
 	for range maxNewsQueries {
 		r.gossip.sendQuery("127.0.0.1:1", false, now)
 	}
-	assert.False(t, r.gossip.mayQuery("127.0.0.1:1", now), "it is asked")
-	assert.False(t, r.gossip.mayQuery("127.0.0.1:2", now), "so many are asked")
+	assert.False(t, r.gossip.mayQuery("127.0.0.1:1", now), "it has an open query")
+	assert.False(t, r.gossip.mayQuery("127.0.0.1:2", now), "the number of open queries is bounded")
 	assert.True(t, r.gossip.mayQuery("127.0.0.1:1", now.Add(queryRetry)))
 	r.gossip.expireQueries(now.Add(answerTimeout + 1))
 	assert.Empty(t, r.gossip.queries)
 }
 
-func TestEachPartnerIsAskedInTurn(t *testing.T) {
+func TestPartnersAreQueriedInTurn(t *testing.T) {
 	r := newIdleRouter(t, &source{})
 	first, asks := r.gossip.nextQueried(5)
-	assert.Equal(t, []int{0, 5}, []int{first, asks}, "a fleet in which few are heard")
+	assert.Equal(t, []int{0, 5}, []int{first, asks}, "a fleet in which few members are heard")
 	for i := range queryAllLimit {
 		r.gossip.members.RecordHeartbeat(fmt.Sprintf("127.0.0.1:%d", i+1), time.Now())
 	}
@@ -180,8 +181,8 @@
 	assert.Zero(t, asks)
 }
 
-// What is no datagram of a router, or asks for nothing, changes nothing.
-func TestDamagedDatagramsChangeNothing(t *testing.T) {
+// A packet that is no valid datagram, or holds no usable entries, changes nothing.
+func TestDamagedDatagramsAreIgnored(t *testing.T) {
 	r := newIdleRouter(t, &source{})
 	from := netip.MustParseAddrPort("127.0.0.1:9")
 	whole := encodeDigest(&gossippb.Digest{Alive: []byte{1, 2}, Member: []string{"127.0.0.1:8"}})
@@ -190,18 +191,18 @@
 		assert.Equal(t, 1, r.gossip.MemberCount())
 	}
 	r.gossip.handleDatagram(from, whole)
-	assert.Equal(t, 2, r.gossip.MemberCount(), "its sender is where it came from; a row without an age is none")
+	assert.Equal(t, 2, r.gossip.MemberCount(), "the sender is the packet's source; a row without an age is ignored")
 }
 
-func TestWhatCanNotBeSentIsCounted(t *testing.T) {
+func TestUnsentDatagramsAreCounted(t *testing.T) {
 	r := newIdleRouter(t, &source{})
 	r.gossip.send("127.0.0.1:9", make([]byte, peer.MaxDatagram+1))
 	r.gossip.send("router-1:7000", []byte("x"))
 	assert.EqualValues(t, 2, r.gossip.UnsentDatagrams())
 }
 
-// A change is not kept until the next round.
-func TestNewsIsToldAtOnce(t *testing.T) {
+// A change is sent without waiting for the next round.
+func TestNewsIsSentBetweenRounds(t *testing.T) {
 	teller, told := newIdleRouter(t, &source{}), newIdleRouter(t, &source{err: errors.New("turned away")})
 	for i := range maxPartners + 1 {
 		teller.gossip.members.RecordHeartbeat(fmt.Sprintf("127.0.0.1:%d", i+1), time.Now())
--- a/internal/gossip/corpus_test.go
+++ b/internal/gossip/corpus_test.go
@@ -16,8 +16,9 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// Messages in testdata were written by the builds whose folders they are in, each folder
-// once and never again: routers of those builds may run beside any later one.
+// readMessage reads a message from testdata. Each folder holds messages of one earlier
+// build, written once and never changed: routers of those builds may run beside any later
+// one.
 func readMessage(t *testing.T, build, name string, into proto.Message) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", build, name))
--- a/internal/gossip/excerpt_test.go
+++ b/internal/gossip/excerpt_test.go
@@ -12,9 +12,9 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// With 300 routers before 3,000 replicas, of which some come and go each second, each
-// router took the whole list at each change, some 50 KB.
-func TestAChangeOfALargeListCostsLittleToTell(t *testing.T) {
+// With 300 routers and 3,000 replicas, of which some come and go each second, each router
+// fetched the whole list at each change, some 50 KB.
+func TestSmallChangeOfLargeListIsCheapToSend(t *testing.T) {
 	const replicas, changed, mostBytes = 3000, 10, 5000
 	list, read := benchListing(replicas), time.Now().Add(-time.Minute)
 	teacher, learner := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
@@ -37,8 +37,8 @@
 	assert.Equal(t, teacher.watcher.Replicas(), learner.watcher.Replicas())
 }
 
-// Parts that are not those that were asked for can't be put together with the own list.
-func TestAnExcerptOfOtherPartsIsRefused(t *testing.T) {
+// Parts other than the requested ones cannot be merged with the router's own list.
+func TestExcerptWithOtherPartsIsRejected(t *testing.T) {
 	text, err := pack(directory.Listing{})
 	require.NoError(t, err)
 	have := watch.KnowledgeRequest{ListHash: 7, PartHashes: make([]uint32, 16)}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -226,7 +226,7 @@
 	return g.members.Len()
 }
 
-// Run exchanges with the others until ctx ends, and then tells them.
+// Run exchanges with the others until ctx ends, and then closes the connections.
 func (g *Gossip) Run(ctx context.Context) {
 	round := time.NewTicker(g.options.Period)
 	defer round.Stop()
