--- a/internal/gossip/fleet_bench_test.go
+++ b/internal/gossip/fleet_bench_test.go
@@ -18,19 +18,20 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-// The users' pause between two rounds, and how many engines the largest sites list.
+// The time between two rounds at the users, and how many engines the largest sites list.
 const (
 	benchPeriod   = 300 * time.Millisecond
 	benchReplicas = 240
-	// benchSettle is how long a fleet that starts at once is left to meet.
+	// benchSettle is how long a fleet that starts at once has for its routers to find
+	// each other.
 	benchSettle = 6 * time.Second
-	// benchTime is for how long it is then measured.
+	// benchTime is how long the fleet is measured after that.
 	benchTime = 5 * time.Second
 )
 
-// BenchmarkIdleFleet tells what it costs a router that others are there: real
-// routers, all in this process, which list engines and serve nobody. One of them
-// reads the store once a second.
+// BenchmarkIdleFleet measures the cost to a router of the others: real routers, all in
+// this process, that list engines and serve no requests. One of them reads the store once
+// a second.
 func BenchmarkIdleFleet(b *testing.B) {
 	for _, routers := range []int{9, 30, 100, 295} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
@@ -105,7 +106,7 @@
 	}
 }
 
-// cpuTime is what this process has used, in nanoseconds.
+// cpuTime returns the processor time that this process has used, in nanoseconds.
 func cpuTime(b *testing.B) int64 {
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -45,7 +45,7 @@
 	return s.snapshot, s.err
 }
 
-// router is what gossip needs of one.
+// router holds the parts of a router that gossip needs.
 type router struct {
 	gossip   *Gossip
 	watcher  *watch.Watcher
@@ -67,8 +67,8 @@
 	return r
 }
 
-// awaitRound waits for a round that began after now to end: from it on the router acts by whom it
-// knows now, as one of a large fleet or of a small one.
+// awaitRound waits for a round that began after the call to end: from then on the router
+// acts as one of a large or a small fleet, by the members that it knows now.
 func (r *router) awaitRound(t *testing.T) {
 	t.Helper()
 	round := func() int {
@@ -80,7 +80,7 @@
 	waitUntil(t, func() bool { return round() >= begun+2 })
 }
 
-// newIdleRouter answers others but makes no rounds by itself.
+// newIdleRouter returns a router that answers others but runs no rounds by itself.
 func newIdleRouter(t *testing.T, s *source, seeds ...string) *router {
 	t.Helper()
 	r := &router{holder: freshness.NewHolder(), balancer: balance.New(1), source: s}
@@ -104,7 +104,7 @@
 	return list
 }
 
-// waitUntil waits for a condition; the test's own limit ends a wait in vain.
+// waitUntil waits for a condition; the test's own timeout ends a wait that would not end.
 func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	for !condition() {
@@ -112,8 +112,8 @@
 	}
 }
 
-// A router that starts again is known to others, which call it as soon as it listens.
-func TestACallThatComesWithTheStartFindsTheMembers(t *testing.T) {
+// Peers know the address of a router that restarts, and call it as soon as it listens.
+func TestCallDuringStartFindsMembers(t *testing.T) {
 	for range 20 {
 		g := &router{holder: freshness.NewHolder(), balancer: balance.New(1), source: &source{}}
 		g.watcher = watch.New(g.source, watch.Options{Period: time.Hour, Timeout: time.Second}, directory.New(time.Hour, time.Hour), g.holder, g.balancer, event.Discard())
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestARouterThatTheSourceTurnsAwayLearnsFromItsPeers(t *testing.T) {
+func TestRouterRefusedBySourceLearnsFromPeers(t *testing.T) {
 	first := newRouter(t, &source{})
 	second := newRouter(t, &source{err: errors.New("turned away")}, first.gossip.Address())
 	third := newRouter(t, &source{err: errors.New("turned away")}, second.gossip.Address())
@@ -151,7 +151,7 @@
 		waitUntil(t, r.watcher.Initialized)
 		assert.EqualValues(t, 4, r.holder.Current().Table.Version())
 		waitUntil(t, func() bool { return r.balancer.ReadyCount("s") == 2 })
-		assert.False(t, r.holder.Current().ProvenAt.After(read), "a proof gains nothing on its way")
+		assert.False(t, r.holder.Current().ProvenAt.After(read), "a proof does not get newer in transit")
 		assert.Zero(t, r.source.reads)
 	}
 	waitUntil(t, func() bool { return first.gossip.MemberCount() == 3 && third.gossip.MemberCount() == 3 })
@@ -162,7 +162,7 @@
 	assert.False(t, third.holder.Current().ProvenAt.After(later))
 }
 
-func TestAnEvacuationReachesRoutersThatTheSourceTurnsAway(t *testing.T) {
+func TestEvacuationReachesRoutersRefusedBySource(t *testing.T) {
 	list := replicas("a", "b")
 	list[0].DataCentre = "north"
 	first := newRouter(t, &source{})
@@ -177,20 +177,20 @@
 	}
 }
 
-func TestRoutersLearnWithWhomTheyShareColdReplicas(t *testing.T) {
+func TestColdReplicasAreSharedAmongKnownRouters(t *testing.T) {
 	r := newRouter(t, &source{})
 	r.balancer.SetColdBounds(balance.ColdBounds{Overage: 1.5, Allowance: 5})
 	list := replicas("a")
 	list[0].Cold, list[0].ColdLeft = true, time.Hour
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list}, time.Now())
 	waitUntil(t, func() bool {
-		// Long after the start, but long before it is warm.
+		// This is long after the start, but long before the replica is warm.
 		_, found := r.balancer.Pick(balance.Request{Service: "s", ColdRate: 1}, time.Now().Add(time.Minute))
 		return found
 	})
 }
 
-func TestAnOlderPeerTakesNothingBack(t *testing.T) {
+func TestOlderPeerRevertsNothing(t *testing.T) {
 	old := newRouter(t, &source{})
 	old.watcher.ApplySnapshot(watch.Snapshot{Config: config(3), Replicas: replicas("gone")}, time.Now())
 	r := newRouter(t, &source{}, old.gossip.Address())
@@ -201,7 +201,7 @@
 	assert.Equal(t, "a", r.watcher.Replicas()[0].ID)
 }
 
-func TestWhatRoutersRunAndSeeReachesTheOthers(t *testing.T) {
+func TestObservationsReachOtherRouters(t *testing.T) {
 	first := newRouter(t, &source{})
 	second := newRouter(t, &source{}, first.gossip.Address())
 	for _, r := range []*router{first, second} {
@@ -213,18 +213,18 @@
 	assert.False(t, second.balancer.Suspected("b", time.Now()))
 }
 
-func TestWhoLeavesIsForgottenAtOnce(t *testing.T) {
+func TestLeavingRouterIsForgottenAtOnce(t *testing.T) {
 	first := newRouter(t, &source{})
 	second := newRouter(t, &source{}, first.gossip.Address())
 	waitUntil(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
 	second.gossip.Leave()
 	waitUntil(t, func() bool { return first.gossip.MemberCount() == 1 })
-	// Whoever asks it is told as well, so that it is not taken for back.
+	// A router that queries it is told as well, and so does not add it again.
 	first.gossip.exchange(context.Background(), second.gossip.Address(), &gossippb.Digest{Sender: first.gossip.Address()})
 	assert.Equal(t, 1, first.gossip.MemberCount())
 }
 
-func TestDamagedDigestsAreReadAsFarAsTheyGo(t *testing.T) {
+func TestDamagedDigestsAreReadToShortestColumn(t *testing.T) {
 	now := time.Now()
 	told := decodeDigest(&gossippb.Digest{Replica: []uint32{1, 2}, Running: []uint32{3}, Failed: []uint32{1}, Failure: []uint32{2}, Part: []uint64{1}}, now)
 	assert.Equal(t, balance.PeerUpdate{Running: []balance.ReplicaCount{{Replica: 1, Running: 3}}}, told)
@@ -232,7 +232,7 @@
 	assert.Equal(t, []uint16{0x0201}, decodeSingles([]byte{1, 2, 3}))
 }
 
-func TestADataCentreOfWhichNobodyIsHeardIsSilent(t *testing.T) {
+func TestDataCentreWithNoHeardMemberIsSilent(t *testing.T) {
 	now := time.Now()
 	g := &Gossip{options: Options{DataCentre: "here", Period: 100 * time.Millisecond}, members: membership.New("me", nil, maxPartners),
 		centres: map[string]string{"a1": "a", "a2": "a", "b1": "b", "h1": "here"}}
@@ -242,14 +242,14 @@
 	g.members.RecordHeartbeat("b1", now.Add(125*time.Millisecond))
 	assert.Empty(t, g.silentCentres(now.Add(130*time.Millisecond)))
 	assert.Equal(t, []string{"a"}, g.silentCentres(now.Add(131*time.Millisecond)), "after 1.3 rounds")
-	assert.Empty(t, g.silentCentres(now.Add(time.Second)), "nobody at all is heard: the fault is here")
+	assert.Empty(t, g.silentCentres(now.Add(time.Second)), "no router at all is heard: the fault is local")
 	g.members.RecordHeartbeat("h1", now.Add(time.Second))
 	assert.Equal(t, []string{"a"}, g.silentCentres(now.Add(time.Second)), "b has one member, which may have died")
 	g.members.RecordHeartbeat("a2", now.Add(time.Second))
 	assert.Empty(t, g.silentCentres(now.Add(time.Second)))
 }
 
-func TestARouterThatStartsRecallsHoldersFromOneThatKnows(t *testing.T) {
+func TestNewRouterLearnsHoldersFromPeer(t *testing.T) {
 	parts := []balance.Part{{ID: 7, Tokens: 100}, {ID: 8, Tokens: 5}}
 	first := newRouter(t, &source{})
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
@@ -257,13 +257,13 @@
 	second := newRouter(t, &source{}, first.gossip.Address())
 	second.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 	waitUntil(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
-	assert.False(t, second.gossip.HoldersKnown(), "the first one knows no more than it happened to see")
+	assert.False(t, second.gossip.HoldersKnown(), "the first router knows only the holders that it saw itself")
 	first.gossip.SetHoldersKnown()
 	waitUntil(t, second.gossip.HoldersKnown)
 	assert.Len(t, second.balancer.Holders(time.Now()), 2)
 }
 
-func TestEachTaskIsOneRouters(t *testing.T) {
+func TestEachTaskHasOneOwner(t *testing.T) {
 	tables := []*membership.Table{membership.New("a", nil, maxPartners), membership.New("b", nil, maxPartners), membership.New("c", nil, maxPartners)}
 	now := time.Now()
 	for _, table := range tables {
@@ -282,10 +282,10 @@
 	}
 }
 
-// An answer says how old the proof was when it was given. What it refutes goes by the
-// youngest that the proof may be: the way there, which is long over a choked link, is not
-// taken for age.
-func TestAnotherRoutersWordIsNotMadeOlderByItsWay(t *testing.T) {
+// An answer contains the age of the proof when it was sent. To judge whether the source
+// answers, the proof counts as young as it can be: the time of the query in transit,
+// which is long over a congested link, does not add to its age.
+func TestPeerProofAgeExcludesTransitTime(t *testing.T) {
 	const age, limit = 55 * time.Minute, time.Hour
 	first := newIdleRouter(t, &source{})
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(1)}, time.Now().Add(-age))
@@ -293,12 +293,13 @@
 	second.watcher.ApplySnapshot(watch.Snapshot{Config: config(1)}, time.Now().Add(-limit))
 	require.Error(t, second.watcher.RefreshList(t.Context(), time.Now()))
 	second.gossip.exchange(t.Context(), startSlowRelay(t, first.gossip.Address()), &gossippb.Digest{Sender: second.gossip.Address()})
-	// At this moment the proof is just young enough; counted from the asking it is not.
+	// Now the proof is just young enough; dated from the query it would not be.
 	now := first.holder.Current().ProvenAt.Add(limit - 2*time.Millisecond)
 	assert.False(t, second.watcher.StoreUnavailable(limit, now), "another router was answered within the limit")
 }
 
-// startSlowRelay passes on what comes to it, a while later, and what comes back at once.
+// startSlowRelay starts a relay that delays what it forwards, and forwards replies at
+// once.
 func startSlowRelay(t *testing.T, to string) string {
 	t.Helper()
 	const delay = 50 * time.Millisecond
