--- a/internal/gossip/hello_test.go
+++ b/internal/gossip/hello_test.go
@@ -12,7 +12,7 @@
 	"github.com/croftyard/croftyard/internal/gossip/gossippb"
 )
 
-// newHourlyRouter returns a resting router whose rounds are an hour apart.
+// newHourlyRouter returns an idle router whose rounds are an hour apart.
 func newHourlyRouter(t *testing.T) *router {
 	t.Helper()
 	r := newIdleRouter(t, &source{})
@@ -23,8 +23,8 @@
 	return r
 }
 
-// Two routers that name no data centre asked each other as fast as the network went.
-func TestADatagramCausesNoStreamOfDatagrams(t *testing.T) {
+// Two routers without a data centre queried each other as fast as the network allowed.
+func TestDatagramDoesNotCauseDatagramLoop(t *testing.T) {
 	first, second := newHourlyRouter(t), newHourlyRouter(t)
 	to, err := netip.ParseAddrPort(second.gossip.Address())
 	require.NoError(t, err)
@@ -38,13 +38,14 @@
 		return int(r.gossip.lastQuery)
 	}
 	waitUntil(t, func() bool { return questions(second) > 0 && questions(first) > 0 })
-	// All that one causes follows within milliseconds; without a bound it is some 10,000.
+	// All datagrams that one causes follow within milliseconds; without a bound there are
+	// some 10,000.
 	time.Sleep(100 * time.Millisecond)
 	assert.Equal(t, 1, questions(second))
 	assert.Equal(t, 1, questions(first))
 }
 
-func TestADatagramNamesNoOtherSender(t *testing.T) {
+func TestDatagramCannotNameOtherSender(t *testing.T) {
 	first, second, victim := newIdleRouter(t, &source{}), newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
 	first.gossip.handleDatagram(netip.MustParseAddrPort(second.gossip.Address()),
 		encodeDigest(&gossippb.Digest{AsksOnly: true, Sender: victim.gossip.Address(), Ask: 7, Hello: true}))
--- a/internal/gossip/learn_bench_test.go
+++ b/internal/gossip/learn_bench_test.go
@@ -24,8 +24,8 @@
 	return l
 }
 
-// BenchmarkLearn is what two routers spend on one change of the list that one passes on
-// to the other: the one for taking a list that was read, the other for the rest.
+// BenchmarkLearn measures what two routers spend on one change of the list: one applies a
+// list that was read and sends the change, the other applies the change.
 func BenchmarkLearn(b *testing.B) {
 	newWatcher := func() *watch.Watcher {
 		return watch.New(&source{}, watch.Options{Period: time.Hour, Timeout: time.Second}, directory.New(time.Hour, time.Hour), freshness.NewHolder(), balance.New(1), event.Discard())
--- a/internal/gossip/life_test.go
+++ b/internal/gossip/life_test.go
@@ -13,7 +13,7 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// exchangeWith has a router exchange with another one as in a round.
+// exchangeWith performs an exchange with another router as a round does.
 func (r *router) exchangeWith(t *testing.T, other *router) {
 	t.Helper()
 	d := &gossippb.Digest{Sender: r.gossip.Address()}
@@ -21,9 +21,9 @@
 	r.gossip.exchange(t.Context(), other.gossip.Address(), d)
 }
 
-// A drain and an evacuation that one router knew before the store came back from a copy
-// reach one that has read the copy alone.
-func TestWhatIsHeldAgainstACopyIsTold(t *testing.T) {
+// A drain and an evacuation that one router knew before the store was restored from a
+// copy reach a router that has read only the copy.
+func TestFactsHeldAgainstCopyAreShared(t *testing.T) {
 	knew, fresh := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
 	for _, r := range []*router{knew, fresh} {
 		r.gossip.SetHoldersKnown()
@@ -51,10 +51,10 @@
 	late.gossip.SetHoldersKnown()
 	require.NoError(t, late.watcher.ApplySnapshot(snapshot(1, copied), steady.Now()))
 	late.exchangeWith(t, fresh)
-	assert.Equal(t, knew.watcher.Digest(), late.watcher.Digest(), "over a router that did not know it by itself")
+	assert.Equal(t, knew.watcher.Digest(), late.watcher.Digest(), "learned from a router that learned it from another one")
 }
 
-func TestAReadThatFailedIsTold(t *testing.T) {
+func TestFailedReadIsShared(t *testing.T) {
 	lost, other := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
 	lost.watcher.ObservePeerFailure(steady.Now().Add(-time.Minute))
 	lost.exchangeWith(t, other)
@@ -68,8 +68,8 @@
 	assert.False(t, failed)
 }
 
-// A router is answered in the form in which it names lists itself.
-func TestARouterOfAnOlderBuildIsAnsweredInItsForm(t *testing.T) {
+// A router is answered with the form of list mark that it uses itself.
+func TestOlderBuildIsAnsweredInItsForm(t *testing.T) {
 	r := newIdleRouter(t, &source{})
 	list := replicas("a", "b")
 	for i := range list {
--- a/internal/gossip/marks_test.go
+++ b/internal/gossip/marks_test.go
@@ -16,7 +16,7 @@
 	crashLimits     = poison.Limits{Crashes: 3, Hold: time.Minute}
 )
 
-// allHold tells whether all routers hold a request.
+// allHold reports whether all routers hold a request.
 func allHold(fleet []*router) bool {
 	for _, r := range fleet {
 		if r.gossip.poison.Check(crashingRequest, time.Now()).State != poison.Held {
@@ -26,7 +26,7 @@
 	return true
 }
 
-// Three replicas crashed as three routers saw, each of them one.
+// recordThreeCrashes records crashes of three replicas, each seen by another router.
 func recordThreeCrashes(fleet []*router) {
 	for n, r := range fleet {
 		r.gossip.poison.SetLimits(crashLimits)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestCrashesThatThreeRoutersSawAreCountedByAll(t *testing.T) {
+func TestCrashesSeenByThreeRoutersCountEverywhere(t *testing.T) {
 	first := newRouter(t, &source{})
 	fleet := []*router{first}
 	for range 4 {
@@ -58,14 +58,14 @@
 	})
 }
 
-func TestMarksReachAllOfALargeFleet(t *testing.T) {
+func TestMarksReachLargeFleet(t *testing.T) {
 	fleet := largeFleet(t, 20)
 	recordThreeCrashes(fleet)
 	waitUntil(t, func() bool { return allHold(fleet) })
 }
 
-// A router that starts, or was cut off, was told of nothing.
-func TestWhoSaysHelloLearnsWhatIsHeld(t *testing.T) {
+// A router that starts, or was cut off, has received no marks.
+func TestHelloIsAnsweredWithMarks(t *testing.T) {
 	first := newRouter(t, &source{})
 	recordThreeCrashes([]*router{first})
 	for replica := range uint32(3) {
@@ -77,7 +77,7 @@
 	waitUntil(t, func() bool { return allHold([]*router{first, second}) })
 }
 
-func TestMarksForABusyPartnerAreKept(t *testing.T) {
+func TestMarksForBusyPartnerAreKept(t *testing.T) {
 	first, second := newIdleRouter(t, &source{}), newRouter(t, &source{})
 	first.gossip.poison.SetLimits(crashLimits)
 	second.gossip.poison.SetLimits(crashLimits)
@@ -89,7 +89,8 @@
 		defer first.gossip.mu.Unlock()
 		return first.gossip.busy[address]
 	}
-	// The round's own exchange would end amid the test, and the partner be free again.
+	// The exchange of the round would otherwise end during the test, and the partner be
+	// free again.
 	waitUntil(t, func() bool { return !isBusy() })
 	first.gossip.mu.Lock()
 	first.gossip.busy[address] = true
@@ -101,7 +102,7 @@
 	assert.Empty(t, first.gossip.poison.TakePending())
 	first.gossip.mu.Lock()
 	delete(first.gossip.busy, address)
-	// What is told again in each round is not what this is about.
+	// Marks that are sent again in each round are not under test here.
 	missed := proto.CloneOf(first.gossip.deferred[address])
 	first.gossip.mu.Unlock()
 	assert.Len(t, missed.GetMarks().GetCrashed(), 3)
@@ -109,7 +110,7 @@
 	waitUntil(t, func() bool { return allHold([]*router{second}) })
 }
 
-func TestMarksCrossTheWire(t *testing.T) {
+func TestMarksRoundTrip(t *testing.T) {
 	now := time.Now()
 	marks := []poison.Mark{{Digest: crashingRequest, Replica: 7, At: now.Add(-time.Second)}, {Digest: crashingRequest, At: now.Add(-time.Minute), Served: true}}
 	assert.Equal(t, marks, decodeMarks(encodeMarks(marks, now), now))
--- a/internal/gossip/pack_test.go
+++ b/internal/gossip/pack_test.go
@@ -13,7 +13,7 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-func TestPackedValuesComeBack(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	packed, err := pack(config(7))
 	require.NoError(t, err)
 	var back route.Config
@@ -24,9 +24,9 @@
 	}
 }
 
-// Of 1,400 routes that came at once, the configuration did not get over a link of
-// 10 Mbit/s within a call's time when several routers asked for it (finding 6).
-func TestALargeConfigurationPacksToAFractionOfItsSize(t *testing.T) {
+// A configuration of 1,400 routes that were added at once did not cross a link of 10
+// Mbit/s within a call's timeout when several routers requested it.
+func TestLargeConfigurationPacksSmall(t *testing.T) {
 	var c route.Config
 	for i := range 1400 {
 		c.Routes = append(c.Routes, route.Route{Name: fmt.Sprintf("r-%x", i*7919), Host: "ficu95.example", Prefix: fmt.Sprintf("/p%x/", i*104729),
@@ -37,7 +37,7 @@
 	assert.Less(t, len(packed), 40_000)
 }
 
-// When something is new, all routers that hear of it ask those that told them.
+// When something is new, all routers that hear of it query those that sent it.
 func TestEachStateIsPackedOnce(t *testing.T) {
 	r := newIdleRouter(t, &source{})
 	read := time.Now()
--- a/internal/gossip/round_test.go
+++ b/internal/gossip/round_test.go
@@ -13,10 +13,10 @@
 	"github.com/croftyard/croftyard/pkg/balance"
 )
 
-// What is told once was lost for a partner whose last exchange was still under
-// way: a test of two routers waited for it in vain, once in some runs of CI.
-func TestRumorsForABusyPartnerAreKeptForTheNextRound(t *testing.T) {
-	// Rounds of their own would tell and miss beside the test.
+// Rumors are sent once. They were lost if the partner's previous exchange was still in
+// progress, and in some runs a test of two routers waited for them in vain.
+func TestRumorsForBusyPartnerAreKept(t *testing.T) {
+	// Rounds would send and defer rumors during the test.
 	first := newIdleRouter(t, &source{})
 	second := newIdleRouter(t, &source{})
 	address := second.gossip.Address()
@@ -33,7 +33,7 @@
 	g.mu.Unlock()
 	g.startExchange(context.Background(), address, &gossippb.Digest{Sender: g.Address()}, d)
 	g.mu.Lock()
-	assert.Nil(t, g.deferred[address], "it went along")
+	assert.Nil(t, g.deferred[address], "the deferred rumor was sent")
 	g.mu.Unlock()
 	for range 2 * maxDeferred {
 		g.mu.Lock()
@@ -43,7 +43,7 @@
 	assert.Len(t, g.deferred["other"].Failed, maxDeferred)
 }
 
-func TestALargeFleetTellsInEachRoundWhileManyReplicasAreIdle(t *testing.T) {
+func TestLargeFleetSendsEachRoundWhileReplicasAreIdle(t *testing.T) {
 	for name, evacuated := range map[string][]string{"all in use": nil, "some idle": {"north"}} {
 		t.Run(name, func(t *testing.T) {
 			r := newIdleRouter(t, &source{})
@@ -60,13 +60,13 @@
 				return r.gossip.hellos
 			}
 			first, second := told(), told()
-			assert.Equal(t, evacuated != nil, first == 1, "half a round")
-			assert.Equal(t, first+1, second, "a whole one")
+			assert.Equal(t, evacuated != nil, first == 1, "half of a round")
+			assert.Equal(t, first+1, second, "a whole round")
 		})
 	}
 }
 
-func TestPartsThatAreSpreadAreToldWithTheirAge(t *testing.T) {
+func TestHotPartsAreSentWithAge(t *testing.T) {
 	now := time.Now()
 	hot := []balance.HotPart{{Part: 1 << 60, Homes: 7, At: now.Add(-1500 * time.Millisecond)}, {Part: 2, Homes: 2, At: now}}
 	var d gossippb.Digest
--- a/internal/gossip/silent_test.go
+++ b/internal/gossip/silent_test.go
@@ -11,7 +11,7 @@
 	"github.com/croftyard/croftyard/internal/gossip/gossippb"
 )
 
-func TestAnExchangeOnASilentConnectionStillArrives(t *testing.T) {
+func TestExchangeSurvivesSilentConnection(t *testing.T) {
 	told, teller := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
 	relay, err := faulty.NewRelay(told.gossip.Address())
 	require.NoError(t, err)
@@ -21,6 +21,6 @@
 	relay.Silence()
 
 	teller.gossip.exchange(context.Background(), relay.Address(), &gossippb.Digest{Sender: "10.0.0.2:1"})
-	assert.Equal(t, 3, told.gossip.MemberCount(), "what a digest tells is told once: it must not be lost")
+	assert.Equal(t, 3, told.gossip.MemberCount(), "a digest's rumors are sent once and must not be lost")
 	assert.Equal(t, 2, relay.Opened())
 }
--- a/internal/gossip/suspension_test.go
+++ b/internal/gossip/suspension_test.go
@@ -11,8 +11,8 @@
 	"github.com/croftyard/croftyard/internal/watch"
 )
 
-// A proof travels as its age: from a router that was suspended it looked as new as before.
-func TestAProofFromBeforeASuspensionIsToldAsOld(t *testing.T) {
+// A proof is sent as its age: after a suspension a router sent the age from before it.
+func TestProofAgeIncludesSuspension(t *testing.T) {
 	r := newIdleRouter(t, &source{})
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a")}, steady.Now())
 	defer steady.Pretend(10 * time.Second)()
@@ -24,8 +24,8 @@
 	assert.GreaterOrEqual(t, reply.GetProofMs(), uint32(10_000))
 }
 
-// What was asked before a suspension and is answered after it tells what was true then.
-func TestAnAnswerToAQuestionFromBeforeASuspensionProvesNothingSince(t *testing.T) {
+// An answer after a suspension to a query from before it is dated from the query.
+func TestAnswerAfterSuspensionIsDatedFromQuery(t *testing.T) {
 	r := newIdleRouter(t, &source{})
 	asked := steady.Now()
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a")}, asked.Add(-time.Minute))
--- a/internal/gossip/teach_test.go
+++ b/internal/gossip/teach_test.go
@@ -10,7 +10,7 @@
 	"github.com/croftyard/croftyard/internal/watch"
 )
 
-func TestWhatIsPassedOnLeavesInTime(t *testing.T) {
+func TestKnowledgeRepliesFitLinkRate(t *testing.T) {
 	var taught sendBudget
 	now := time.Now()
 	const list = 57 << 10
@@ -27,17 +27,17 @@
 			answered++
 		}
 	}
-	assert.InDelta(t, knowledgeRate/list+6, answered, 1, "then as many as the link carries")
-	assert.True(t, taught.allow(64<<20, now.Add(time.Minute)), "what is larger than all that goes alone")
+	assert.InDelta(t, knowledgeRate/list+6, answered, 1, "then as many as the link can carry")
+	assert.True(t, taught.allow(64<<20, now.Add(time.Minute)), "a reply above the whole budget is sent alone")
 }
 
-// Who is not answered goes on with what it has, and learns later.
-func TestWhoIsNotAnsweredLearnsLater(t *testing.T) {
+// A router whose request is refused keeps what it has, and learns later.
+func TestRefusedRouterLearnsLater(t *testing.T) {
 	teacher, learner := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
 	teacher.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a")}, time.Now())
 	require.True(t, teacher.gossip.budget.allow(1<<30, time.Now()))
 	learner.gossip.fetchKnowledge(t.Context(), teacher.gossip.Address())
-	assert.False(t, learner.watcher.Initialized(), "a refusal says nothing")
+	assert.False(t, learner.watcher.Initialized(), "a refusal contains no knowledge")
 	assert.EqualValues(t, 1, teacher.gossip.RefusedRequests())
 	teacher.gossip.budget.drained = time.Time{}
 	learner.gossip.fetchKnowledge(t.Context(), teacher.gossip.Address())
