--- a/pkg/membership/bench_test.go
+++ b/pkg/membership/bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// BenchmarkRound is what the members cost a router in each round: who is forgotten,
-// whom it talks to and who is known, while nothing changes.
+// BenchmarkRound measures the cost of the members to a router in each round while nothing
+// changes: expiry, partners and known routers.
 func BenchmarkRound(b *testing.B) {
 	for _, routers := range []int{30, 295, 680} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
 			now := time.Now()
-			table := full(routers, now)["0"]
+			table := fullTables(routers, now)["0"]
 			b.ReportAllocs()
 			for b.Loop() {
 				table.Expire(now)
@@ -24,12 +24,12 @@
 	}
 }
 
-// BenchmarkChange is the same when a member has come or gone.
+// BenchmarkChange measures the same when a member joins or leaves.
 func BenchmarkChange(b *testing.B) {
 	for _, routers := range []int{30, 295, 680} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
 			now := time.Now()
-			table := full(routers, now)["0"]
+			table := fullTables(routers, now)["0"]
 			b.ReportAllocs()
 			for b.Loop() {
 				table.RecordLeave("1", now)
--- a/pkg/membership/lines.go
+++ b/pkg/membership/lines.go
@@ -9,47 +9,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// suspectAfter is how long a member of the line may be silent before another one
-// does its work.
+// suspectAfter is how long a member of the line may be silent before another one relays
+// for it.
 const suspectAfter = 1500 * time.Millisecond
 
-// Partners are whom a router talks to in a round. The lists are not to be changed.
+// Partners lists the routers to contact in a round. Callers must not change the lists.
 type Partners struct {
-	// Line is all members in a small fleet, and those of the own line in a large
-	// one.
+	// Line holds all members of a small fleet, and those of the own line in a large one.
 	Line []string
-	// RelayTo are the members outside of the line that hear of it from this router.
+	// RelayTo holds the members outside of the line that get its sum from this router.
 	RelayTo []string
-	// Seeds are those that are no members, and one member that was lost, so that
-	// parts of a fleet that lost each other meet again.
+	// Seeds holds the seeds that are not members, and one lost member, so that the parts
+	// of a partitioned fleet find each other again.
 	Seeds []string
 }
 
 // All returns all partners.
 func (p Partners) All() []string { return slices.Concat(p.Line, p.RelayTo, p.Seeds) }
 
-// plan is whom a router talks to, as long as the members and the suspects are the same.
+// plan caches the partners of a router while the members and the suspects stay the same.
 type plan struct {
 	line, lines int
-	// mates are the members of the line, addresses theirs and others the rest.
-	mates     []*member
-	addresses []string
-	others    []*member
-	// relayed are those of the others to whom this router tells its line's sum, for
-	// mates without the suspects; worked tells that they were worked out.
+	// lineMembers are the members of the line, addresses theirs and others the rest.
+	lineMembers []*member
+	addresses   []string
+	others      []*member
+	// relayed are those of the others to which this router sends its line's sum, given
+	// the line members that are not suspects; computed is set once it is valid.
 	relayed  []string
 	suspects []*member
-	worked   bool
+	computed bool
 }
 
-// planned returns the plan for the members that are known.
-func (t *Table) planned() *plan {
+// currentPlan returns the plan for the current members.
+func (t *Table) currentPlan() *plan {
 	t.plan.get(t.changes, func() plan {
-		p := plan{lines: linesOf(t.Len())}
+		p := plan{lines: lineCount(t.Len())}
 		p.line = int(t.ownHash % uint64(p.lines))
 		for _, m := range t.list() {
 			if !t.Large() || int(m.hash%uint64(p.lines)) == p.line {
-				p.mates = append(p.mates, m)
+				p.lineMembers = append(p.lineMembers, m)
 				p.addresses = append(p.addresses, m.address)
 				continue
 			}
@@ -61,17 +60,17 @@
 	return &t.plan.value
 }
 
-// linesOf returns in how many lines a fleet is divided: the power of two next to
+// lineCount returns how many lines a fleet is divided into: the power of two nearest to
 // the square root of its size, so that it rarely changes.
-func linesOf(routers int) int {
+func lineCount(routers int) int {
 	return 1 << int(math.Round(math.Log2(math.Sqrt(float64(routers)))))
 }
 
-// Partners returns whom to talk to.
+// Partners returns the routers to contact in this round.
 func (t *Table) Partners(now time.Time) Partners {
-	p := t.planned()
+	p := t.currentPlan()
 	var suspects []*member
-	for _, m := range p.mates {
+	for _, m := range p.lineMembers {
 		if !m.unanswered.IsZero() && now.Sub(m.unanswered) >= suspectAfter {
 			suspects = append(suspects, m)
 		}
@@ -79,18 +78,18 @@
 			m.unanswered = now
 		}
 	}
-	if !p.worked || !slices.Equal(suspects, p.suspects) {
-		p.relayed, p.suspects, p.worked = t.relays(p, suspects), suspects, true
+	if !p.computed || !slices.Equal(suspects, p.suspects) {
+		p.relayed, p.suspects, p.computed = t.relayRecipients(p, suspects), suspects, true
 	}
-	return Partners{Line: p.addresses, RelayTo: p.relayed, Seeds: t.strangers()}
+	return Partners{Line: p.addresses, RelayTo: p.relayed, Seeds: t.contactCandidates()}
 }
 
-// relays returns to whom this router tells its line's sum.
-func (t *Table) relays(p *plan, suspects []*member) []string {
+// relayRecipients returns the members to which this router sends its line's sum.
+func (t *Table) relayRecipients(p *plan, suspects []*member) []string {
 	var relayed []string
 	for _, other := range p.others {
 		own := relayWeight(t.ownHash, other)
-		if !slices.ContainsFunc(p.mates, func(mate *member) bool {
+		if !slices.ContainsFunc(p.lineMembers, func(mate *member) bool {
 			return relayWeight(mate.hash, other) > own && !slices.Contains(suspects, mate)
 		}) {
 			relayed = append(relayed, other.address)
@@ -99,7 +98,7 @@
 	return slices.Clip(relayed)
 }
 
-// relayWeight orders the members of a line for one of the others: the highest tells it.
+// relayWeight ranks the members of a line for one of the others: the highest sends to it.
 func relayWeight(teller uint64, other *member) uint64 {
 	var pair [16]byte
 	binary.LittleEndian.PutUint64(pair[:8], teller)
@@ -107,8 +106,8 @@
 	return xxhash.Sum64(pair[:])
 }
 
-// strangers returns the seeds that are no members, and one member that was lost.
-func (t *Table) strangers() []string {
+// contactCandidates returns the seeds that are not members, and one lost member.
+func (t *Table) contactCandidates() []string {
 	var list []string
 	for _, seed := range t.seeds {
 		if seed != t.own && t.members[seed] == nil {
@@ -121,8 +120,7 @@
 	return list
 }
 
-// nextLost returns a member that was lost, another one each time, or an empty
-// text.
+// nextLost returns a lost member, another one each time, or an empty string.
 func (t *Table) nextLost() string {
 	var lost []string
 	for address := range t.lost {
@@ -134,29 +132,31 @@
 		return ""
 	}
 	slices.Sort(lost)
-	t.next++
-	return lost[t.next%len(lost)]
+	t.lostIndex++
+	return lost[t.lostIndex%len(lost)]
 }
 
 // Line returns the number of this router's line, and how many there are.
 func (t *Table) Line() (line, lines int) {
-	p := t.planned()
+	p := t.currentPlan()
 	return p.line, p.lines
 }
 
 const (
-	// shortBytes of a member's hash name it in Alive: of 680 routers two share them
-	// once in 70 fleets, and one that died is then taken for alive while the other is.
-	shortBytes = 3
-	// aliveWithin is how long ago those were heard that Alive names: two rounds.
+	// shortHashBytes is how many bytes of a member's hash AliveHashes contains. Among 680
+	// routers two share them in one of 70 fleets; then one that died counts as alive
+	// while the other is.
+	shortHashBytes = 3
+	// aliveWithin is how recently the members in AliveHashes were heard: two rounds.
 	aliveWithin = 1200 * time.Millisecond
 )
 
-// AliveHashes names the members of the line that spoke to this router lately, for those to
-// whom it tells the line's sum: three bytes a member, where a row takes some twenty.
+// AliveHashes returns short hashes of the line's members that contacted this router
+// lately, for the recipients of the line's sum: three bytes a member, where a row takes
+// some twenty.
 func (t *Table) AliveHashes(now time.Time) []byte {
 	var short []byte
-	for _, m := range t.planned().mates {
+	for _, m := range t.currentPlan().lineMembers {
 		if now.Sub(m.direct) <= aliveWithin {
 			short = append(short, byte(m.hash), byte(m.hash>>8), byte(m.hash>>16))
 		}
@@ -164,8 +164,8 @@
 	return short
 }
 
-// MergeAliveHashes takes what Alive returned at another router. Those that are not known,
-// and bytes left over, are passed over.
+// MergeAliveHashes merges what AliveHashes returned at another router. It ignores unknown
+// members and surplus bytes.
 func (t *Table) MergeAliveHashes(short []byte, now time.Time) {
 	members := t.byShort.get(t.changes, func() map[uint32]*member {
 		all := make(map[uint32]*member, len(t.members))
@@ -175,7 +175,7 @@
 		return all
 	})
 	at := now.Add(-aliveWithin)
-	for ; len(short) >= shortBytes; short = short[shortBytes:] {
+	for ; len(short) >= shortHashBytes; short = short[shortHashBytes:] {
 		if m := members[shortHash(short[0], short[1], short[2])]; m != nil && at.After(m.heard) {
 			m.heard = at
 		}
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,21 +1,20 @@
-// Package membership keeps which routers are there, without any list of them
-// that somebody would have to maintain.
+// Package membership tracks the routers of a fleet without a list that somebody would
+// have to maintain.
 //
-// A router starts with a few seeds, which may be stale. Whoever hears from
-// another passes on how long ago that was, so that all learn of all; who has not
-// been heard of for Lifetime is forgotten. Nothing is agreed on: members are
-// whom to talk to, never who decides.
+// A router starts with a few seeds, which may be stale. Routers pass on how long ago they
+// heard each member, so that all learn of all; a member of which nothing was heard for
+// Lifetime is forgotten. There is no consensus: the members determine whom to contact,
+// never who decides.
 //
-// Up to a number of members each talks to each. A larger fleet is divided into
-// lines, by the hash of the address, so that nothing has to be agreed on:
+// Up to a number of members each router contacts each other one. A larger fleet is
+// divided into lines, by the hash of the address, so that no agreement is needed:
 //
-//	line 0: a d g j    each talks to its line, and for its line to some of the
-//	line 1: b e h k    others: of each line, each router hears from the one
-//	line 2: c f i      member that comes first for it by rendezvous hashing
+//	line 0: a d g j    each router contacts its own line, and on behalf of its line
+//	line 1: b e h k    some of the others: of each line, each router hears from the
+//	line 2: c f i      member that ranks first for it by rendezvous hashing
 //
-// What all routers count thus reaches each in two steps, once, over some
-// 2 x sqrt(n) partners a router. Whom a router talks to is worked out anew only when
-// the members change.
+// The counts of all routers thus reach each in two hops, once, over some 2 x sqrt(n)
+// partners a router. The partners are computed again only when the members change.
 //
 // The package does no I/O; time comes from the caller and is steady.
 package membership
@@ -31,31 +30,32 @@
 const (
 	// Lifetime is how long a router counts as a member after it was last heard.
 	Lifetime = 6 * time.Second
-	// largeLifetime is the same in a large fleet, where most are heard of through
-	// others only, a part of them at a time.
+	// largeLifetime is the same in a large fleet, where a router hears of most members
+	// through others only, of a part of them at a time.
 	largeLifetime = 3 * Lifetime
-	// lostLifetime is for how long a member that fell silent is looked for, one of
-	// them in each round: both sides of a cut forget each other, and the seeds may
-	// be gone by the time it is over.
+	// lostLifetime is how long a router tries to reach members that fell silent, one of
+	// them in each round: both sides of a partition forget each other, and the seeds may
+	// be gone when it ends.
 	lostLifetime = 5 * time.Minute
 )
 
 // Table is one router's view of the others. It is not safe for concurrent use.
 type Table struct {
-	own     string
-	ownHash uint64
-	seeds   []string
-	most    int
-	members map[string]*member
-	left    map[string]time.Time
-	// lost is when members that fell silent were forgotten, and next whom of them
-	// to look for.
-	lost map[string]time.Time
-	next int
-	// fresh are members that came to this router before it knew of them, and that it
-	// has told nobody of.
-	fresh []string
-	// changes counts the changes of members and lost; the rest holds for one count.
+	own         string
+	ownHash     uint64
+	seeds       []string
+	maxPartners int
+	members     map[string]*member
+	left        map[string]time.Time
+	// lost holds when silent members were forgotten, and lostIndex selects the one to try
+	// next.
+	lost      map[string]time.Time
+	lostIndex int
+	// newMembers are members that contacted this router before it knew of them, and that
+	// it has not reported to others yet.
+	newMembers []string
+	// changes counts the changes of members and lost; the fields below are cached for one
+	// count.
 	changes uint64
 	sorted  cached[[]*member]
 	known   cached[[]string]
@@ -67,20 +67,21 @@
 type member struct {
 	address string
 	hash    uint64
-	// heard is when it was last heard of, direct when it last spoke to this router
-	// itself as one that does so in each round.
+	// heard is when the member was last heard of, direct when it last contacted this
+	// router itself with a heartbeat.
 	heard, direct time.Time
-	// unanswered is since when it is told without being heard; zero if it was heard.
+	// unanswered is when the first message without an answer was sent to it; zero if it
+	// answered.
 	unanswered time.Time
 }
 
-// cached is a value that is worked out anew when the members have changed.
+// cached is a value that is computed again after the members have changed.
 type cached[T any] struct {
 	value T
 	at    uint64
 }
 
-// get returns the value as of a count of changes, which starts at 1.
+// get returns the value for a change count, which starts at 1.
 func (c *cached[T]) get(changes uint64, work func() T) T {
 	if c.at != changes {
 		c.value, c.at = work(), changes
@@ -88,29 +89,29 @@
 	return c.value
 }
 
-// Row is a member with the time since it was heard.
+// Row is a member and the time since it was heard.
 type Row struct {
 	Address string
 	Age     time.Duration
 }
 
-// New returns a table of a router at an address. most is up to how many members
-// are all partners.
-func New(own string, seeds []string, most int) *Table {
+// New returns the table of a router at the address own. Up to maxPartners members are all
+// partners.
+func New(own string, seeds []string, maxPartners int) *Table {
 	return &Table{
-		own:     own,
-		ownHash: xxhash.Sum64String(own),
-		seeds:   seeds,
-		most:    most,
-		members: make(map[string]*member),
-		left:    make(map[string]time.Time),
-		lost:    make(map[string]time.Time),
-		changes: 1,
+		own:         own,
+		ownHash:     xxhash.Sum64String(own),
+		seeds:       seeds,
+		maxPartners: maxPartners,
+		members:     make(map[string]*member),
+		left:        make(map[string]time.Time),
+		lost:        make(map[string]time.Time),
+		changes:     1,
 	}
 }
 
-// Large tells whether there are more members than partners.
-func (t *Table) Large() bool { return len(t.members) > t.most }
+// Large reports whether there are more members than can all be partners.
+func (t *Table) Large() bool { return len(t.members) > t.maxPartners }
 
 func (t *Table) lifetime() time.Duration {
 	if t.Large() {
@@ -119,8 +120,8 @@
 	return Lifetime
 }
 
-// RecordHeartbeat notes that a member spoke just now, as it does in each round, and tells
-// whether it is new.
+// RecordHeartbeat records a message from a member that sends one in each round, and
+// reports whether the member is new.
 func (t *Table) RecordHeartbeat(address string, now time.Time) bool {
 	fresh := t.RecordContact(address, now)
 	if m := t.members[address]; m != nil {
@@ -129,24 +130,24 @@
 	return fresh
 }
 
-// RecordContact notes that a member spoke just now, though it does not in each round, and
-// tells whether it is new.
+// RecordContact records a message from a member that does not send one in each round, and
+// reports whether the member is new.
 func (t *Table) RecordContact(address string, now time.Time) bool {
 	if address == t.own || address == "" {
 		return false
 	}
 	m, fresh := t.member(address)
 	if fresh {
-		t.fresh = append(t.fresh, address)
+		t.newMembers = append(t.newMembers, address)
 	}
 	m.heard = now
 	m.unanswered = time.Time{}
 	delete(t.left, address)
-	t.find(address)
+	t.stopSearch(address)
 	return fresh
 }
 
-// member returns a member, which is added if it is not there.
+// member returns a member, and adds it if it is missing.
 func (t *Table) member(address string) (m *member, added bool) {
 	if m := t.members[address]; m != nil {
 		return m, false
@@ -157,8 +158,8 @@
 	return m, true
 }
 
-// find ends the search for a member that was lost.
-func (t *Table) find(address string) {
+// stopSearch ends the search for a lost member.
+func (t *Table) stopSearch(address string) {
 	if _, lost := t.lost[address]; lost {
 		delete(t.lost, address)
 		t.changes++
@@ -170,17 +171,17 @@
 	t.changes++
 }
 
-// RecordLeave notes that a member said that it stops. Rows of others that are older
-// than that do not bring it back.
+// RecordLeave records that a member announced its stop. Older rows from others do not
+// bring it back.
 func (t *Table) RecordLeave(address string, now time.Time) {
 	if t.members[address] != nil {
 		t.remove(address)
 	}
-	t.find(address)
+	t.stopSearch(address)
 	t.left[address] = now
 }
 
-// Merge takes the rows that another router told at a time.
+// Merge merges rows that another router sent, with ages as of now.
 func (t *Table) Merge(rows []Row, now time.Time) {
 	for _, r := range rows {
 		at := now.Add(-r.Age)
@@ -193,7 +194,7 @@
 	}
 }
 
-// Expire forgets who was silent for too long and returns them, sorted.
+// Expire forgets the members that were silent for too long and returns them, sorted.
 func (t *Table) Expire(now time.Time) []string {
 	var silent []string
 	lifetime := t.lifetime()
@@ -208,7 +209,7 @@
 	}
 	for address, at := range t.lost {
 		if now.Sub(at) > lostLifetime {
-			t.find(address)
+			t.stopSearch(address)
 		}
 	}
 	for address, at := range t.left {
@@ -240,8 +241,8 @@
 	return rows
 }
 
-// DirectRows returns the members that spoke to this router itself within Lifetime, as
-// those do that do so in each round, with the time since, sorted by address.
+// DirectRows returns the members that sent this router itself a heartbeat within
+// Lifetime, with the time since, sorted by address.
 func (t *Table) DirectRows(now time.Time) []Row {
 	var rows []Row
 	for _, m := range t.list() {
@@ -252,8 +253,8 @@
 	return rows
 }
 
-// Sample returns a part of the members, another one each time, sorted by
-// address: all in some rounds, in messages that don't grow with the fleet.
+// Sample returns some of the members, others in each round, sorted by address: all of
+// them over several rounds, in messages that don't grow with the fleet.
 func (t *Table) Sample(round, most int, now time.Time) []Row {
 	list := t.list()
 	rows := make([]Row, 0, min(most, len(list)))
@@ -267,23 +268,23 @@
 	return rows
 }
 
-// TakeNew returns members that came to this router before it knew of them, most of them
-// at a time, the first to come first, each once. A router that starts comes to some of
-// each line, so that all know it when these have told their partners.
+// TakeNew returns up to most members that contacted this router before it knew of them,
+// oldest first, each once. A router that starts contacts some members of each line, so
+// that all know it when these have told their partners.
 func (t *Table) TakeNew(most int, now time.Time) []Row {
 	var rows []Row
-	n := min(most, len(t.fresh))
-	for _, address := range t.fresh[:n] {
+	n := min(most, len(t.newMembers))
+	for _, address := range t.newMembers[:n] {
 		if m := t.members[address]; m != nil {
 			rows = append(rows, Row{address, now.Sub(m.heard)})
 		}
 	}
-	t.fresh = t.fresh[n:]
+	t.newMembers = t.newMembers[n:]
 	return rows
 }
 
-// Rank returns how many members come before this router in an order that is the
-// same everywhere. Whoever is first acts first; the others act if it does not.
+// Rank returns how many members precede this router in an order that is the same
+// everywhere. The first acts first; the others act if it does not.
 func (t *Table) Rank() int {
 	rank := 0
 	for _, m := range t.list() {
@@ -294,8 +295,8 @@
 	return rank
 }
 
-// OwnsTask tells whether a task is this router's by rendezvous hashing. Routers that
-// know the same members agree.
+// OwnsTask reports whether a task belongs to this router by rendezvous hashing. Routers
+// that know the same members agree.
 func (t *Table) OwnsTask(task string) bool {
 	own := xxhash.Sum64String(t.own + task)
 	for _, m := range t.list() {
@@ -306,9 +307,9 @@
 	return true
 }
 
-// KnownAddresses returns all routers that are members or were a while ago, this one included,
-// sorted. Those that fell silent may be at work behind a cut. The list is not to be
-// changed; it is the same one while Changes is.
+// KnownAddresses returns all routers that are or lately were members, this one included,
+// sorted. Silent ones may be working behind a partition. Callers must not change the
+// list; it stays the same one while Changes does.
 func (t *Table) KnownAddresses() []string {
 	return t.known.get(t.changes, func() []string {
 		known := []string{t.own}
@@ -323,7 +324,7 @@
 	})
 }
 
-// Changes counts the changes of the members and of those that were lost.
+// Changes returns the number of changes of the members and of the lost members.
 func (t *Table) Changes() uint64 { return t.changes }
 
 // Len returns the number of routers, this one included.
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-const most = 8
+const testMaxPartners = 8
 
-// fleet is a number of tables that talk to each other in rounds.
+// fleet is a number of tables that exchange rows in rounds.
 type fleet struct {
 	tables map[string]*Table
 	now    time.Time
@@ -21,19 +21,20 @@
 	f := &fleet{tables: make(map[string]*Table), now: time.Now()}
 	for i := range routers {
 		address := fmt.Sprint(i)
-		f.tables[address] = New(address, seeds, most)
+		f.tables[address] = New(address, seeds, testMaxPartners)
 	}
 	return f
 }
 
 const rowsTold = 16
 
-// round has each router talk to its partners. down is who does not answer.
+// round lets each router contact its partners. down reports the routers that don't
+// answer.
 func (f *fleet) round(down func(address string) bool) {
 	f.cutRound(down, func(string, string) bool { return false })
 }
 
-// cutRound is a round in which some do not reach each other.
+// cutRound is a round in which some routers do not reach each other.
 func (f *fleet) cutRound(down func(address string) bool, cut func(a, b string) bool) {
 	f.now = f.now.Add(300 * time.Millisecond)
 	f.rounds++
@@ -56,7 +57,7 @@
 
 func nobody(string) bool { return false }
 
-func TestAllLearnOfAllFromOneSeed(t *testing.T) {
+func TestOneSeedConnectsFleet(t *testing.T) {
 	for _, routers := range []int{6, 40, 74} {
 		f := newFleet(routers, "0")
 		for range 8 {
@@ -71,7 +72,7 @@
 	}
 }
 
-func TestALargeFleetStaysTogether(t *testing.T) {
+func TestLargeFleetStaysConnected(t *testing.T) {
 	const routers = 74
 	f := newFleet(routers, "0")
 	down := func(address string) bool { return f.rounds > 30 && len(address) == 2 && address[0] == '7' }
@@ -94,16 +95,16 @@
 		assert.Equal(t, routers-4, table.Len(), "those that died are forgotten")
 		partners := table.Partners(f.now)
 		for _, p := range append(partners.Line, partners.RelayTo...) {
-			assert.False(t, down(p), "and are no partners any more")
+			assert.False(t, down(p), "and are no longer partners")
 		}
 	}
 }
 
-// full returns the tables of a fleet in which all know all.
-func full(routers int, now time.Time) map[string]*Table {
+// fullTables returns the tables of a fleet in which all routers know each other.
+func fullTables(routers int, now time.Time) map[string]*Table {
 	tables := make(map[string]*Table)
 	for i := range routers {
-		table := New(fmt.Sprint(i), nil, most)
+		table := New(fmt.Sprint(i), nil, testMaxPartners)
 		for j := range routers {
 			table.RecordHeartbeat(fmt.Sprint(j), now)
 		}
@@ -112,12 +113,12 @@
 	return tables
 }
 
-// What a router counts is told to its line, and the line's sum by one of its
-// members to each of the others: each router hears of each other exactly once.
-func TestEachHearsOfEachOnce(t *testing.T) {
+// A router's counts go to its line, and one member of the line sends the sum to each of
+// the others: each router hears of each other one exactly once.
+func TestEachRouterIsReportedOnceToEachOther(t *testing.T) {
 	now := time.Now()
 	for _, routers := range []int{5, 9, 10, 30, 74, 136, 680} {
-		tables := full(routers, now)
+		tables := fullTables(routers, now)
 		heard := make(map[string]map[string]int)
 		for address := range tables {
 			heard[address] = make(map[string]int)
@@ -146,9 +147,9 @@
 	}
 }
 
-func TestAnotherMemberRelaysForOneThatIsSilent(t *testing.T) {
+func TestAnotherMemberRelaysForSilentOne(t *testing.T) {
 	now := time.Now()
-	tables := full(74, now)
+	tables := fullTables(74, now)
 	for _, table := range tables {
 		table.Partners(now)
 	}
@@ -181,9 +182,9 @@
 	}
 }
 
-func TestWhoIsSilentIsForgotten(t *testing.T) {
+func TestSilentMemberIsForgotten(t *testing.T) {
 	now := time.Now()
-	table := New("me", nil, most)
+	table := New("me", nil, testMaxPartners)
 	assert.True(t, table.RecordHeartbeat("a", now))
 	assert.False(t, table.RecordHeartbeat("a", now))
 	assert.False(t, table.RecordHeartbeat("me", now))
@@ -194,9 +195,9 @@
 	assert.Equal(t, 1, table.Len())
 }
 
-func TestWhoLeftIsNotBroughtBackByOldRows(t *testing.T) {
+func TestOldRowsDoNotRestoreLeftMember(t *testing.T) {
 	now := time.Now()
-	table := New("me", nil, most)
+	table := New("me", nil, testMaxPartners)
 	table.RecordHeartbeat("a", now)
 	table.RecordLeave("a", now)
 	table.Merge([]Row{{"a", time.Second}}, now.Add(500*time.Millisecond))
@@ -205,9 +206,9 @@
 	assert.Len(t, table.Rows(now.Add(time.Second)), 1, "it started again")
 }
 
-func TestRowsAndSeedsComeRoundToEach(t *testing.T) {
+func TestSamplesAndSeedsCoverAll(t *testing.T) {
 	now := time.Now()
-	table := New("me", []string{"seed", "m01"}, most)
+	table := New("me", []string{"seed", "m01"}, testMaxPartners)
 	for i := range 50 {
 		table.RecordHeartbeat(fmt.Sprintf("m%02d", i), now)
 	}
@@ -225,15 +226,15 @@
 	assert.Equal(t, 25, seeds, "a seed that is no member is asked each time")
 }
 
-// Both sides of a cut forgot each other after six seconds; the seeds, on one side,
-// were replaced meanwhile by routers at other addresses.
-func TestBothSidesOfALongCutMeetAgainWithoutSeeds(t *testing.T) {
+// Both sides of a partition forgot each other after six seconds; meanwhile the seeds, on
+// one side, were replaced by routers at other addresses.
+func TestPartitionHealsWithoutSeeds(t *testing.T) {
 	for _, routers := range []int{9, 40} {
 		f := newFleet(routers, "0")
 		for range 20 {
 			f.round(nobody)
 		}
-		// Cut: the odd ones and the even ones do not hear each other; "0" dies.
+		// The odd and the even routers do not reach each other; "0" dies.
 		odd := func(address string) bool { return (address[len(address)-1]-'0')%2 == 1 }
 		dead := func(address string) bool { return address == "0" }
 		for range 100 {
@@ -255,9 +256,9 @@
 	}
 }
 
-func TestWhoLeftIsNotLookedFor(t *testing.T) {
+func TestLeftMemberIsNotSearchedFor(t *testing.T) {
 	now := time.Now()
-	table := New("me", nil, most)
+	table := New("me", nil, testMaxPartners)
 	table.RecordHeartbeat("died", now)
 	table.RecordHeartbeat("stopped", now)
 	table.RecordLeave("stopped", now)
@@ -268,18 +269,18 @@
 	assert.Empty(t, table.Partners(later).Seeds)
 }
 
-func TestWhoIsHeardOfThroughOthersIsNotDirect(t *testing.T) {
+func TestIndirectMemberIsNotDirect(t *testing.T) {
 	now := time.Now()
-	table := New("me", nil, most)
+	table := New("me", nil, testMaxPartners)
 	table.RecordHeartbeat("a", now)
 	table.Merge([]Row{{"b", 0}}, now)
 	assert.Equal(t, []Row{{"a", time.Second}}, table.DirectRows(now.Add(time.Second)))
 	assert.Empty(t, table.DirectRows(now.Add(Lifetime+1)))
 }
 
-// On a day of 74 routers all talked to the same eight members in each round,
-// and for several rounds nobody of some data centre was heard.
-func TestNobodyIsEverybodysPartner(t *testing.T) {
+// In a fleet of 74 routers all contacted the same eight members in each round, and for
+// several rounds heard nobody of some data centre.
+func TestPartnersAreSpreadOverMembers(t *testing.T) {
 	const routers = 74
 	now := time.Now()
 	address := func(i int) string { return fmt.Sprintf("10.%d.0.%d:7000", 1+i/20, 10+i%20) }
@@ -289,7 +290,7 @@
 		centres[address(i)] = make(map[string]bool)
 	}
 	for i := range routers {
-		table := New(address(i), nil, most)
+		table := New(address(i), nil, testMaxPartners)
 		for j := range routers {
 			table.RecordHeartbeat(address(j), now)
 		}
@@ -303,12 +304,12 @@
 		assert.Len(t, heard, 4, "%s hears of each data centre", router)
 	}
 	for member, n := range asked {
-		assert.Less(t, n, 5*most, member)
+		assert.Less(t, n, 5*testMaxPartners, member)
 	}
 	assert.Len(t, asked, routers)
 }
 
-func TestRoutersThatFellSilentAreStillKnown(t *testing.T) {
+func TestSilentRoutersAreStillKnown(t *testing.T) {
 	now := time.Now()
 	table := New("b", nil, 11)
 	assert.Equal(t, []string{"b"}, table.KnownAddresses())
@@ -319,16 +320,17 @@
 	table.RecordLeave("d", now)
 	table.RecordHeartbeat("c", now.Add(Lifetime))
 	assert.Equal(t, []string{"a"}, table.Expire(now.Add(Lifetime+time.Second)))
-	assert.Equal(t, []string{"a", "b", "c"}, table.KnownAddresses(), "it may be at work behind a cut; one that said that it stops is not")
+	assert.Equal(t, []string{"a", "b", "c"}, table.KnownAddresses(), "it may be working behind a partition; one that announced its stop is not")
 	table.RecordHeartbeat("c", now.Add(lostLifetime+2*Lifetime))
 	table.Expire(now.Add(lostLifetime + 2*Lifetime + time.Second))
 	assert.Equal(t, []string{"b", "c"}, table.KnownAddresses())
 }
 
-// A router that starts comes to some of each line, which tell their partners of it once.
-func TestWhoComesUnknownIsToldOfOnce(t *testing.T) {
+// A router that starts contacts some members of each line, which tell their partners of
+// it once.
+func TestNewMemberIsReportedOnce(t *testing.T) {
 	now := time.Now()
-	table := New("me", nil, most)
+	table := New("me", nil, testMaxPartners)
 	table.Merge([]Row{{"heard of", 0}}, now)
 	for _, address := range []string{"a", "b", "heard of", "c", "a"} {
 		table.RecordHeartbeat(address, now)
@@ -339,10 +341,10 @@
 	assert.Empty(t, table.TakeNew(2, now))
 }
 
-func TestALineTellsWhoOfItLives(t *testing.T) {
+func TestLineReportsItsLiveMembers(t *testing.T) {
 	const routers = 74
 	now := time.Now()
-	tables := full(routers, now)
+	tables := fullTables(routers, now)
 	dead := "7"
 	later := now.Add(aliveWithin + time.Millisecond)
 	for address, table := range tables {
@@ -352,7 +354,7 @@
 			}
 		}
 	}
-	listener := New("listener", nil, most)
+	listener := New("listener", nil, testMaxPartners)
 	for address := range tables {
 		listener.Merge([]Row{{address, 0}}, now)
 	}
@@ -370,5 +372,5 @@
 	for _, row := range listener.Rows(later) {
 		assert.Equal(t, row.Address == dead, row.Age > aliveWithin, row.Address)
 	}
-	assert.Equal(t, routers+1, listener.Len(), "nobody is added by it")
+	assert.Equal(t, routers+1, listener.Len(), "it adds no member")
 }
