--- a/pkg/turns/turns.go
+++ b/pkg/turns/turns.go
@@ -1,15 +1,15 @@
-// Package turns decides when a router reads a source that each router of a fleet could
-// read for all others.
+// Package turns schedules the reads of a source that each router of a fleet can read for
+// all others.
 //
-//	the source answers    the first by rank reads, the next two step in for it, the
-//	                      others one after another, some while later
-//	it answers nobody     each tries once for itself, and then in turns of its own, so
-//	                      that together they ask at one rate, however many they are;
-//	                      who finds it back tells the others
-//	no router is heard    as if it were alone
+//	the source answers     the first router by rank reads, the next two stand in for it, the
+//	                       others follow one after another, some time later
+//	it answers nobody      each router tries once for itself, and then at intervals, so that
+//	                       the fleet's rate of attempts does not depend on its size; the one
+//	                       that succeeds tells the others
+//	no router is heard     each acts as if it were alone
 //
-// A source that is down comes back into the questions of all who miss it: if each asked for
-// itself, and its requests besides, a large fleet would keep it down.
+// A source that was down returns under the load of all routers that need it: if each read
+// for itself, and for its requests besides, a large fleet would keep it down.
 //
 // The package does no I/O; time comes from the caller and is steady.
 package turns
@@ -21,156 +21,160 @@
 )
 
 const (
-	// triesAPeriod is how often the fleet tries a source that answers nobody, so that it is
-	// found back sooner than the next round of gossip tells of it.
-	triesAPeriod = 8
-	// aloneTries is the same of a router that hears no other.
-	aloneTries = 4
+	// triesPerPeriod is how often the fleet tries a source that answers nobody, so that
+	// its return is found sooner than the next round of gossip reports it.
+	triesPerPeriod = 8
+	// aloneTriesPerPeriod is the same for a router that hears no other.
+	aloneTriesPerPeriod = 4
 )
 
-// readAfter are the parts of the period after which a router reads, by its rank: the
-// first reads for all while it can, the next two step in for it. To the others a proof
-// may come over two more routers, some rounds of telling later.
+// readAfter holds the fractions of the period after which a router reads, by its rank:
+// the first reads for all while it can, the next two stand in for it. The others may
+// receive a proof over two more routers, some rounds of gossip later.
 var readAfter = [...]float64{0.85, 1.15, 1.3, 1.8}
 
-// aloneAfter is for how long no other router must have answered for one to count as
+// aloneTimeout is how long no other router must have answered for a router to count as
 // alone: three rounds of a large fleet.
-const aloneAfter = 2 * time.Second
+const aloneTimeout = 2 * time.Second
 
-// untoldAfter is for how many periods no other router must have told of a failure for
-// their turns not to be counted on: routers of a build that knows no turns tell of none.
-// Where all do, each hears of one within a round or two, and there are eight a period.
-const untoldAfter = 2
+// silentPeriods is after how many periods without a reported failure a router no longer
+// relies on the others' turns: builds that do not take turns report no failures. Where
+// all do, each router hears of one within a round or two, and there are eight per period.
+const silentPeriods = 2
 
-// Place is a router's among those that it knows.
+// Place is a router's position among those that it knows.
 type Place struct {
-	// Rank is how many others read before it, Routers how many there are with it.
+	// Rank is the number of routers that read before this one, Routers the number of all,
+	// this one included.
 	Rank, Routers int
 }
 
-// Scheduler are those of one router. It is safe for concurrent use.
+// Scheduler schedules the reads of one router. It is safe for concurrent use.
 type Scheduler struct {
 	mu sync.Mutex
-	// period is the pause between two reads of the fleet.
+	// period is the time between two reads of the fleet.
 	period time.Duration
 	random *rand.Rand
-	// failed is when an own read last failed, told when one of another router did, by
-	// its word; answered when a read was sent of which the answer is known.
-	failed, told, answered time.Time
-	// heard is when another router was asked that answered.
-	heard time.Time
-	// first is the part of a turn after which the first one comes since the source was
-	// lost: all lose it at the same moment. tries counts the failures since.
-	first float64
-	tries int
-	// since is when the source was lost.
-	since time.Time
+	// failed is when an own read last failed, peerFailed when one of another router did,
+	// as it reports; succeeded is when the last read that is known to be answered was
+	// sent.
+	failed, peerFailed, succeeded time.Time
+	// peerHeard is when the last query was sent that another router answered.
+	peerHeard time.Time
+	// firstTurn is the random fraction of a turn before the first one after the source
+	// was lost, since all routers lose it at the same moment. tries counts the failures
+	// since.
+	firstTurn float64
+	tries     int
+	// lostAt is when the source was lost.
+	lostAt time.Time
 }
 
-// New returns the turns of a router. Seeds differ between routers.
+// New returns the scheduler of a router. Seeds must differ between routers.
 func New(seed uint64) *Scheduler {
 	return &Scheduler{random: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// SetPeriod changes the pause between two reads of the fleet.
+// SetPeriod sets the time between two reads of the fleet.
 func (t *Scheduler) SetPeriod(period time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.period = period
 }
 
-// ReadAfter returns how old what is known may get before a router reads.
+// ReadAfter returns the age of a router's knowledge at which it reads.
 func (t *Scheduler) ReadAfter(p Place, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	last := len(readAfter) - 1
 	parts := readAfter[min(p.Rank, last)]
 	if p.Rank > last && !t.alone(now) {
-		parts += float64(p.Rank-last) / triesAPeriod
+		parts += float64(p.Rank-last) / triesPerPeriod
 	}
 	return time.Duration(float64(t.period) * parts)
 }
 
-// alone tells whether no other router is heard. t.mu is held.
-func (t *Scheduler) alone(now time.Time) bool { return now.Sub(t.heard) > aloneAfter }
+// alone reports whether no other router is heard. t.mu is held.
+func (t *Scheduler) alone(now time.Time) bool { return now.Sub(t.peerHeard) > aloneTimeout }
 
-// shared tells whether others try in turns too. t.mu is held.
-func (t *Scheduler) shared(now time.Time) bool {
-	untold := now.Sub(later(t.since, t.told)) > untoldAfter*t.period
+// peersTakeTurns reports whether other routers take turns too. t.mu is held.
+func (t *Scheduler) peersTakeTurns(now time.Time) bool {
+	untold := now.Sub(later(t.lostAt, t.peerFailed)) > silentPeriods*t.period
 	return !t.alone(now) && !untold
 }
 
-// ObservePeer notes that another router answered that was asked at a time.
+// ObservePeer records that another router answered a query sent at the time asked.
 func (t *Scheduler) ObservePeer(asked time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard = later(t.heard, asked)
+	t.peerHeard = later(t.peerHeard, asked)
 }
 
-// ObserveSuccess notes that a read which was sent at a time had an answer, here or elsewhere.
+// ObserveSuccess records that a read sent at a time was answered, here or elsewhere.
 func (t *Scheduler) ObserveSuccess(sent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.answered = later(t.answered, sent)
+	t.succeeded = later(t.succeeded, sent)
 }
 
-// ObserveFailure notes that an own read failed.
+// ObserveFailure records that an own read failed.
 func (t *Scheduler) ObserveFailure(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.lost() {
-		t.first, t.tries, t.since = t.random.Float64(), 0, now
+		t.firstTurn, t.tries, t.lostAt = t.random.Float64(), 0, now
 	}
 	t.failed = now
 	t.tries++
 }
 
-// ObservePeerFailure takes another router's word that a read failed at a time.
+// ObservePeerFailure records another router's report that a read failed at a time.
 func (t *Scheduler) ObservePeerFailure(failed time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.told = later(t.told, failed)
+	t.peerFailed = later(t.peerFailed, failed)
 }
 
-// LastFailure returns when a read failed last, here or elsewhere, that is newer than any
-// read with an answer; zero if there is none.
+// LastFailure returns the time of the last failed read, here or elsewhere, if it is later
+// than any answered read, and the zero time otherwise.
 func (t *Scheduler) LastFailure() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	last := later(t.failed, t.told)
-	if !last.After(t.answered) {
+	last := later(t.failed, t.peerFailed)
+	if !last.After(t.succeeded) {
 		return time.Time{}
 	}
 	return last
 }
 
-// Wait returns how long a router is to wait until it may read, 0 if it may now. Each tries
-// once for itself before it believes that the source answers nobody, and then in turns.
+// Wait returns how long a router must wait before it may read, 0 if it may now. Each
+// tries once for itself before it assumes that the source answers nobody, and then in
+// turns.
 func (t *Scheduler) Wait(p Place, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.lost() {
 		return 0
 	}
-	turn := t.period / aloneTries
-	if t.shared(now) {
-		turn = max(turn, t.period*time.Duration(p.Routers)/triesAPeriod)
+	turn := t.period / aloneTriesPerPeriod
+	if t.peersTakeTurns(now) {
+		turn = max(turn, t.period*time.Duration(p.Routers)/triesPerPeriod)
 		if t.tries == 1 {
-			turn = time.Duration(float64(turn) * t.first)
+			turn = time.Duration(float64(turn) * t.firstTurn)
 		}
 	}
 	return max(t.failed.Add(turn).Sub(now), 0)
 }
 
-// SourceLost tells whether this router's last read failed, and none was answered since, here
-// or elsewhere.
+// SourceLost reports whether this router's last read failed, and none was answered since,
+// here or elsewhere.
 func (t *Scheduler) SourceLost() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lost()
 }
 
-func (t *Scheduler) lost() bool { return t.failed.After(t.answered) }
+func (t *Scheduler) lost() bool { return t.failed.After(t.succeeded) }
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
