--- a/pkg/owner/example_test.go
+++ b/pkg/owner/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/croftyard/croftyard/pkg/owner"
 )
 
-// An owner grants engines, and holds back what has to wait.
+// An owner grants engines, and queues requests that have to wait.
 func Example() {
 	now := time.Now()
 	group := owner.NewGroup(100, owner.Hooks[string]{
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -1,6 +1,6 @@
-// Package owner is the owner's half of a placement decision: it knows exactly
-// what the engines of one group are running, holds what has to wait, and
-// dispatches as late as it can.
+// Package owner makes the owner's half of a placement decision: it has exact counts of
+// the requests at the engines of one group, queues what has to wait, and dispatches as
+// late as it can.
 //
 //	Enter ──> engine free? ──yes──> grant
 //	             │no
@@ -11,9 +11,9 @@
 //	             └─ wait in the fair queue
 //	Finish ─> the queue's next in fair order that has a free engine: grant
 //
-// The package does no I/O and starts nothing: the caller tells it the time and
-// calls Impatient when a ticket's patience is over. It is not safe for
-// concurrent use.
+// The package does no I/O and starts no goroutines: the caller passes the time, and calls
+// EndCacheWait when a ticket has waited for its engine's cache for long enough. It is not
+// safe for concurrent use.
 package owner
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/croftyard/croftyard/pkg/placement"
 )
 
-// Request is what an owner knows of a request.
+// Request is what an owner knows about a request.
 type Request struct {
 	// Flow is the research group, Share its weight.
 	Flow     string
@@ -39,50 +39,51 @@
 	Prefix uint64
 	// Adapter is the hash of the adapter that the engine must hold, or 0.
 	Adapter uint64
-	// MaxCacheWait is the time that the token's engine saves by its cache: the longest
-	// that it is worth waiting for it.
+	// MaxCacheWait is the time that the cache of the token's engine saves: the longest
+	// wait for that engine that pays off.
 	MaxCacheWait time.Duration
 	// Bound is the operator's c for this request.
 	Bound float64
-	// LastHop tells that no other group can be asked any more.
+	// LastHop is set if no other group can be asked any more.
 	LastHop bool
 }
 
-// Ticket is a request at its owner.
+// Ticket is a request that entered a group.
 type Ticket[T any] struct {
 	Request
-	// Payload is the caller's.
+	// Payload is the caller's data.
 	Payload T
 
-	item    *admission.Item[*Ticket[T]]
-	patient bool
-	entered time.Time
-	granted time.Time
-	engine  *Engine
+	item          *admission.Item[*Ticket[T]]
+	waitsForCache bool
+	entered       time.Time
+	granted       time.Time
+	engine        *Engine
 }
 
 // GrantedEngine returns the engine that the ticket was granted, or nil.
 func (t *Ticket[T]) GrantedEngine() *Engine { return t.engine }
 
-// WaitsForCache tells whether the ticket waits for its token's engine.
-func (t *Ticket[T]) WaitsForCache() bool { return t.patient }
+// WaitsForCache reports whether the ticket waits for its token's engine only.
+func (t *Ticket[T]) WaitsForCache() bool { return t.waitsForCache }
 
-// Hooks are called while a Group's method runs.
+// Hooks are called from within a Group's methods.
 type Hooks[T any] struct {
-	// Grant hands a ticket its engine.
+	// Grant is called when a ticket gets its engine.
 	Grant func(*Ticket[T])
-	// Reject ends a waiting ticket.
+	// Reject is called when a waiting ticket is refused.
 	Reject func(*Ticket[T], *admission.Refusal)
 }
 
-// Group is one group of engines at its owner.
+// Group is the owner's state of one group of engines.
 type Group[T any] struct {
 	hooks   Hooks[T]
 	engines []*Engine
 	queue   *admission.Queue[*Ticket[T]]
-	// fleetMean is the mean load of all engines of the pool, as digests tell it.
+	// fleetMean is the mean load of all engines of the pool, as reported in digests.
 	fleetMean float64
-	// served measures work done a second; pace is seconds a token of work takes.
+	// served measures the work done per second; pace is the seconds that a token of work
+	// takes.
 	served admission.Meter
 	pace   float64
 	states []placement.EngineState
@@ -93,16 +94,16 @@
 	return &Group[T]{hooks: hooks, queue: admission.NewQueue[*Ticket[T]](limit)}
 }
 
-// SetEngines replaces the engines, after a change of the live view.
+// SetEngines replaces the engines after a change of the live view.
 func (g *Group[T]) SetEngines(engines []*Engine) {
 	g.engines = engines
 	g.states = make([]placement.EngineState, len(engines))
 }
 
-// SetFleetMean tells the mean load of the pool's engines.
+// SetFleetMean sets the mean load of the pool's engines.
 func (g *Group[T]) SetFleetMean(mean float64) { g.fleetMean = mean }
 
-// Waiting returns the number of tickets that wait.
+// Waiting returns the number of waiting tickets.
 func (g *Group[T]) Waiting() int { return g.queue.Len() }
 
 // Load returns the requests queued and in flight per engine.
@@ -120,15 +121,14 @@
 // Size returns the number of engines.
 func (g *Group[T]) Size() int { return len(g.engines) }
 
-// Enter takes a ticket in: it is granted an engine at once, waits, or is
-// refused.
+// Enter adds a ticket: it is granted an engine at once, waits, or is refused.
 func (g *Group[T]) Enter(t *Ticket[T], now time.Time) *admission.Refusal {
 	t.entered = now
-	t.patient = t.Engine != 0 && t.MaxCacheWait > 0
-	if g.queue.Len() == 0 && g.grantNow(t, now) {
+	t.waitsForCache = t.Engine != 0 && t.MaxCacheWait > 0
+	if g.queue.Len() == 0 && g.tryGrant(t, now) {
 		return nil
 	}
-	if !t.patient && g.full(t) {
+	if !t.waitsForCache && g.isFull(t) {
 		return groupFull()
 	}
 	t.item = g.newItem(t)
@@ -151,15 +151,15 @@
 		Share:       t.Share,
 		Priority:    t.Priority,
 		Deadline:    t.Deadline,
-		ServiceTime: g.leastService(t.Work),
+		ServiceTime: g.minServiceTime(t.Work),
 		Work:        t.Work,
 		Payload:     t,
 	}
 }
 
-// leastService is half the time that this work took lately: a deadline that
-// is closer than that is not worth a try.
-func (g *Group[T]) leastService(work float64) time.Duration {
+// minServiceTime returns half the time that such work took lately: a closer deadline is
+// not worth an attempt.
+func (g *Group[T]) minServiceTime(work float64) time.Duration {
 	const margin = 0.5
 	return time.Duration(g.pace * work * margin * float64(time.Second))
 }
@@ -168,13 +168,13 @@
 	return admission.Refuse(admission.GroupFull, time.Second, "every engine of the group is at its bound")
 }
 
-// full tells whether the ticket had better ask another group.
-func (g *Group[T]) full(t *Ticket[T]) bool {
-	return !t.LastHop && g.pick(t) == nil
+// isFull reports whether the ticket should try another group.
+func (g *Group[T]) isFull(t *Ticket[T]) bool {
+	return !t.LastHop && g.pickEngine(t) == nil
 }
 
-func (g *Group[T]) grantNow(t *Ticket[T], now time.Time) bool {
-	e := g.pick(t)
+func (g *Group[T]) tryGrant(t *Ticket[T], now time.Time) bool {
+	e := g.pickEngine(t)
 	if e == nil {
 		return false
 	}
@@ -188,12 +188,12 @@
 	t.item = nil
 	t.granted = now
 	e.InFlight++
-	e.remember(t.Prefix)
+	e.addPrefix(t.Prefix)
 	g.hooks.Grant(t)
 }
 
-// pick returns the engine for a ticket now, or nil.
-func (g *Group[T]) pick(t *Ticket[T]) *Engine {
+// pickEngine returns the engine for a ticket now, or nil.
+func (g *Group[T]) pickEngine(t *Ticket[T]) *Engine {
 	token := placement.None
 	for i, e := range g.engines {
 		g.states[i] = e.state(t.Prefix, t.Adapter)
@@ -205,14 +205,14 @@
 	if at == placement.None {
 		return nil
 	}
-	if t.patient && token != placement.None && at != token {
+	if t.waitsForCache && token != placement.None && at != token {
 		return nil
 	}
 	return g.engines[at]
 }
 
-// bounds are those of a ticket. On the last hop other groups were found full,
-// so the mean in the digests is behind: the group's own mean counts too.
+// bounds returns the bounds for a ticket. On the last hop other groups were found full,
+// so the mean from the digests is outdated: the group's own mean counts too.
 func (g *Group[T]) bounds(t *Ticket[T]) placement.Bounds {
 	mean := g.fleetMean
 	if t.LastHop {
@@ -221,12 +221,12 @@
 	return placement.Bounds{LoadFactor: t.Bound, FleetMean: mean}
 }
 
-// Dispatch grants waiting tickets engines, in fair order, while there are free ones.
+// Dispatch grants engines to waiting tickets in fair order, as long as any are free.
 func (g *Group[T]) Dispatch(now time.Time) {
 	for g.queue.Len() > 0 {
 		var chosen *Engine
 		item := g.queue.Next(now, func(item *admission.Item[*Ticket[T]]) bool {
-			chosen = g.pick(item.Payload)
+			chosen = g.pickEngine(item.Payload)
 			return chosen != nil
 		})
 		if item == nil {
@@ -236,16 +236,16 @@
 	}
 }
 
-// EndCacheWait tells that a waiting ticket's patience is over: any engine of the
-// group will do, and if none is free it is refused with GroupFull unless this
-// is its last hop.
+// EndCacheWait ends a ticket's wait for its engine's cache: any engine of the group will
+// do, and if none is free the ticket is refused with GroupFull unless this is its last
+// hop.
 func (g *Group[T]) EndCacheWait(t *Ticket[T], now time.Time) *admission.Refusal {
-	if t.item == nil || !t.patient {
+	if t.item == nil || !t.waitsForCache {
 		return nil
 	}
-	t.patient = false
+	t.waitsForCache = false
 	g.Dispatch(now)
-	if t.item == nil || !g.full(t) {
+	if t.item == nil || !g.isFull(t) {
 		return nil
 	}
 	g.queue.Remove(t.item)
@@ -253,7 +253,7 @@
 	return groupFull()
 }
 
-// Cancel takes a waiting ticket out. It returns false if it was not waiting.
+// Cancel removes a waiting ticket. It returns false if the ticket was not waiting.
 func (g *Group[T]) Cancel(t *Ticket[T]) bool {
 	if t.item == nil {
 		return false
@@ -263,17 +263,17 @@
 	return left
 }
 
-// Finish ends a granted ticket. whole tells that its work was really done.
+// Finish ends a granted ticket. whole reports whether its work was really done.
 func (g *Group[T]) Finish(t *Ticket[T], whole bool, now time.Time) {
 	t.engine.InFlight--
 	if whole {
 		g.served.Add(now, t.Work)
-		g.learnPace(now.Sub(t.granted).Seconds() / math.Max(t.Work, 1))
+		g.updatePace(now.Sub(t.granted).Seconds() / math.Max(t.Work, 1))
 	}
 	g.Dispatch(now)
 }
 
-func (g *Group[T]) learnPace(sample float64) {
+func (g *Group[T]) updatePace(sample float64) {
 	const weight = 0.05
 	if g.pace == 0 {
 		g.pace = sample
@@ -282,7 +282,7 @@
 	g.pace += weight * (sample - g.pace)
 }
 
-// Drain rejects everything that waits, so that it goes to the next owner.
+// Drain rejects all waiting tickets, so that they go to the next owner.
 func (g *Group[T]) Drain(reason admission.Reason, now time.Time) {
 	for _, item := range g.queue.Drain(now) {
 		item.Payload.item = nil
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -12,15 +12,15 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// bench is a group whose grants and rejections are recorded.
-type bench struct {
+// recordedGroup is a group that records its grants and rejections.
+type recordedGroup struct {
 	*Group[string]
 	granted  []*Ticket[string]
 	rejected []*admission.Refusal
 }
 
-func newBench(engines int, slots int) *bench {
-	b := &bench{}
+func newRecordedGroup(engines int, slots int) *recordedGroup {
+	b := &recordedGroup{}
 	b.Group = NewGroup(100, Hooks[string]{
 		Grant:  func(t *Ticket[string]) { b.granted = append(b.granted, t) },
 		Reject: func(_ *Ticket[string], r *admission.Refusal) { b.rejected = append(b.rejected, r) },
@@ -33,7 +33,7 @@
 	return b
 }
 
-func ticket(change func(*Request)) *Ticket[string] {
+func newTicket(change func(*Request)) *Ticket[string] {
 	r := Request{Flow: "a", Share: 1, Deadline: start.Add(time.Hour), Work: 100, Bound: 1.25, LastHop: true}
 	if change != nil {
 		change(&r)
@@ -41,38 +41,38 @@
 	return &Ticket[string]{Request: r}
 }
 
-func expectGranted(t *testing.T, b *bench, want int) {
+func expectGranted(t *testing.T, b *recordedGroup, want int) {
 	t.Helper()
 	require.Len(t, b.granted, want)
 }
 
-func TestEnterGrantsTheTokensEngine(t *testing.T) {
-	b := newBench(3, 4)
-	x := ticket(func(r *Request) { r.Engine = 2 })
+func TestEnterGrantsPreferredEngine(t *testing.T) {
+	b := newRecordedGroup(3, 4)
+	x := newTicket(func(r *Request) { r.Engine = 2 })
 	require.Nil(t, b.Enter(x, start))
 	assert.EqualValues(t, 2, x.GrantedEngine().Hash)
 	assert.InDelta(t, 1.0/3, b.Load(), 1e-9)
 }
 
-func TestPatientTicketWaitsForItsEngineOnly(t *testing.T) {
-	b := newBench(2, 1)
-	first := ticket(func(r *Request) { r.Engine = 1 })
+func TestTicketWaitsForCacheOfItsEngineOnly(t *testing.T) {
+	b := newRecordedGroup(2, 1)
+	first := newTicket(func(r *Request) { r.Engine = 1 })
 	require.Nil(t, b.Enter(first, start))
-	patient := ticket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
+	patient := newTicket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
 	require.Nil(t, b.Enter(patient, start))
 	assert.Nil(t, patient.GrantedEngine(), "engine 2 is free, but the cache is on engine 1")
-	other := ticket(nil)
+	other := newTicket(nil)
 	require.Nil(t, b.Enter(other, start))
-	assert.EqualValues(t, 2, other.GrantedEngine().Hash, "a patient ticket holds up nobody")
+	assert.EqualValues(t, 2, other.GrantedEngine().Hash, "a ticket that waits for its cache blocks nobody")
 	b.Finish(first, true, start.Add(time.Millisecond))
 	require.NotNil(t, patient.GrantedEngine())
 	assert.EqualValues(t, 1, patient.GrantedEngine().Hash)
 }
 
-func TestPatienceEnds(t *testing.T) {
-	b := newBench(2, 1)
-	require.Nil(t, b.Enter(ticket(func(r *Request) { r.Engine = 1 }), start))
-	patient := ticket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
+func TestEndCacheWait(t *testing.T) {
+	b := newRecordedGroup(2, 1)
+	require.Nil(t, b.Enter(newTicket(func(r *Request) { r.Engine = 1 }), start))
+	patient := newTicket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
 	require.Nil(t, b.Enter(patient, start))
 	assert.Nil(t, b.EndCacheWait(patient, start.Add(time.Second)))
 	assert.EqualValues(t, 2, patient.GrantedEngine().Hash)
@@ -81,28 +81,28 @@
 }
 
 func TestFullGroupPassesOnUnlessLastHop(t *testing.T) {
-	b := newBench(2, 1)
+	b := newRecordedGroup(2, 1)
 	for range 2 {
-		require.Nil(t, b.Enter(ticket(nil), start))
+		require.Nil(t, b.Enter(newTicket(nil), start))
 	}
-	refusal := b.Enter(ticket(func(r *Request) { r.LastHop = false }), start)
+	refusal := b.Enter(newTicket(func(r *Request) { r.LastHop = false }), start)
 	require.NotNil(t, refusal)
 	assert.Equal(t, admission.GroupFull, refusal.Reason)
 	assert.True(t, refusal.NotRun)
-	last := ticket(nil)
+	last := newTicket(nil)
 	require.Nil(t, b.Enter(last, start))
 	assert.Equal(t, 1, b.Waiting())
-	patient := ticket(func(r *Request) { r.LastHop = false; r.Engine = 1; r.MaxCacheWait = time.Second })
+	patient := newTicket(func(r *Request) { r.LastHop = false; r.Engine = 1; r.MaxCacheWait = time.Second })
 	require.Nil(t, b.Enter(patient, start))
 	assert.Equal(t, admission.GroupFull, b.EndCacheWait(patient, start).Reason)
 	assert.Equal(t, 1, b.Waiting())
 }
 
 func TestHardBoundHoldsWhateverTheMeanOfTheGroup(t *testing.T) {
-	b := newBench(2, 0)
+	b := newRecordedGroup(2, 0)
 	b.SetFleetMean(8)
 	n := 0
-	for b.Enter(ticket(func(r *Request) { r.LastHop = false; r.Engine = 1 }), start) == nil {
+	for b.Enter(newTicket(func(r *Request) { r.LastHop = false; r.Engine = 1 }), start) == nil {
 		n++
 		require.Less(t, n, 100)
 	}
@@ -110,41 +110,41 @@
 }
 
 func TestClosedEngineGetsNothing(t *testing.T) {
-	b := newBench(2, 4)
+	b := newRecordedGroup(2, 4)
 	b.engines[0].Closed = true
-	x := ticket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
+	x := newTicket(func(r *Request) { r.Engine = 1; r.MaxCacheWait = time.Second })
 	require.Nil(t, b.Enter(x, start))
-	assert.EqualValues(t, 2, x.GrantedEngine().Hash, "no waiting for an engine that leaves")
+	assert.EqualValues(t, 2, x.GrantedEngine().Hash, "a ticket does not wait for an engine that leaves")
 }
 
 func TestAdapterNeedsAnEngineThatHoldsIt(t *testing.T) {
-	b := newBench(3, 1)
+	b := newRecordedGroup(3, 1)
 	b.engines[1].Adapters = []uint64{7}
 	for want := 1; want <= 2; want++ {
-		x := ticket(func(r *Request) { r.Adapter = 7 })
+		x := newTicket(func(r *Request) { r.Adapter = 7 })
 		require.Nil(t, b.Enter(x, start))
 		if want == 1 {
 			assert.EqualValues(t, 2, x.GrantedEngine().Hash)
 			continue
 		}
-		assert.Nil(t, x.GrantedEngine(), "the others do not hold it")
+		assert.Nil(t, x.GrantedEngine(), "the other engines do not hold the adapter")
 	}
 }
 
 func TestReturningEngineIsLoadedGradually(t *testing.T) {
-	b := newBench(2, 0)
+	b := newRecordedGroup(2, 0)
 	b.SetFleetMean(10)
 	b.engines[0].Ramp = 0.2
 	for range 14 {
-		require.Nil(t, b.Enter(ticket(nil), start))
+		require.Nil(t, b.Enter(newTicket(nil), start))
 	}
 	assert.InDelta(t, 2, b.engines[0].InFlight, 1)
 }
 
 func TestLeaveAndDrain(t *testing.T) {
-	b := newBench(1, 1)
-	require.Nil(t, b.Enter(ticket(nil), start))
-	gone, drained := ticket(nil), ticket(nil)
+	b := newRecordedGroup(1, 1)
+	require.Nil(t, b.Enter(newTicket(nil), start))
+	gone, drained := newTicket(nil), newTicket(nil)
 	require.Nil(t, b.Enter(gone, start))
 	require.Nil(t, b.Enter(drained, start))
 	assert.True(t, b.Cancel(gone))
@@ -155,26 +155,26 @@
 	assert.Zero(t, b.Waiting())
 }
 
-func TestOthersRequestsCountAtTheBound(t *testing.T) {
-	b := newBench(2, 0)
+func TestForeignRequestsCountTowardsBound(t *testing.T) {
+	b := newRecordedGroup(2, 0)
 	b.SetFleetMean(4)
 	b.engines[0].ObservePeerCount(77, 4, start)
-	x := ticket(nil)
+	x := newTicket(nil)
 	require.Nil(t, b.Enter(x, start))
 	assert.EqualValues(t, 2, x.GrantedEngine().Hash)
 	assert.Equal(t, 4, b.engines[0].ForeignInFlight())
-	b.engines[0].ExpireCounts(start.Add(toldFor + time.Second))
+	b.engines[0].ExpireCounts(start.Add(peerCountTTL + time.Second))
 	assert.Zero(t, b.engines[0].ForeignInFlight())
 }
 
-func TestReportNoticesStrangersOnly(t *testing.T) {
+func TestReportDetectsForeignRequestsOnly(t *testing.T) {
 	e := NewEngine(1, 0)
 	e.InFlight = 20
 	e.ObserveReport(24, start)
-	assert.Zero(t, e.ForeignInFlight(), "within the report's age")
+	assert.Zero(t, e.ForeignInFlight(), "the difference is attributed to the report's age")
 	e.ObserveReport(40, start)
 	assert.Equal(t, 20, e.ForeignInFlight())
-	e.ExpireCounts(start.Add(reportFor + time.Second))
+	e.ExpireCounts(start.Add(reportTTL + time.Second))
 	assert.Zero(t, e.ForeignInFlight())
 }
 
@@ -189,7 +189,7 @@
 	assert.Equal(t, []uint64{old}, tells(start))
 	assert.True(t, h.SetOwner(engine, self, self, start), "gained")
 	assert.False(t, h.SetOwner(engine, self, self, start))
-	assert.Equal(t, []uint64{old}, tells(start), "the owner before may not have seen the change")
+	assert.Equal(t, []uint64{old}, tells(start), "the previous owner may not have seen the change")
 	assert.Empty(t, tells(start.Add(handoverTime+time.Second)))
 	h.SetOwner(engine, other, self, start)
 	assert.Equal(t, []uint64{other}, tells(start))
