--- a/internal/gossip/ask_test.go
+++ b/internal/gossip/ask_test.go
@@ -94,15 +94,15 @@
 	word := r.watcher.Digest()
 	version, mark := word.Version, word.ListHash
 	now, proofMs := time.Now(), uint32(0)
-	told := &gossippb.Digest{Sender: "127.0.0.1:9", DataCentre: "there", Version: version, Mark: mark, ProofMs: &proofMs}
-	r.gossip.handleDigest(told, now)
+	digest := &gossippb.Digest{Sender: "127.0.0.1:9", DataCentre: "there", Version: version, Mark: mark, ProofMs: &proofMs}
+	r.gossip.handleDigest(digest, now)
 	assert.Equal(t, read, r.holder.Current().ProvenAt)
 	require.Len(t, r.gossip.queries, 1, "it queries the sender")
 	asked := now.Add(-50 * time.Millisecond)
 	for number := range r.gossip.queries {
 		r.gossip.handleAnswer(&gossippb.Freshness{Ask: number + 1, Version: version, Mark: mark, ProofMs: &proofMs}, now)
 		assert.Equal(t, read, r.holder.Current().ProvenAt, "an answer without a query")
-		r.gossip.queries[number] = query{address: told.Sender, at: asked}
+		r.gossip.queries[number] = query{address: digest.Sender, at: asked}
 		r.gossip.handleAnswer(&gossippb.Freshness{Ask: number, Version: version, Mark: mark, ProofMs: &proofMs}, now)
 	}
 	assert.Equal(t, asked, r.holder.Current().ProvenAt, "dated from the query")
@@ -136,11 +136,11 @@
 				mark++
 			}
 			for i := range 10 {
-				told := &gossippb.Digest{Sender: fmt.Sprintf("127.0.0.1:%d", i+1), DataCentre: "there", Version: c.version, Mark: mark}
+				digest := &gossippb.Digest{Sender: fmt.Sprintf("127.0.0.1:%d", i+1), DataCentre: "there", Version: c.version, Mark: mark}
 				if age := uint32(c.age.Milliseconds()); c.age >= 0 {
-					told.ProofMs = &age
+					digest.ProofMs = &age
 				}
-				r.gossip.handleDigest(told, now)
+				r.gossip.handleDigest(digest, now)
 			}
 			assert.Len(t, r.gossip.queries, c.asked)
 		})
@@ -203,13 +203,13 @@
 
 // A change is sent without waiting for the next round.
 func TestNewsIsSentBetweenRounds(t *testing.T) {
-	teller, told := newIdleRouter(t, &source{}), newIdleRouter(t, &source{err: errors.New("turned away")})
+	sender, receiver := newIdleRouter(t, &source{}), newIdleRouter(t, &source{err: errors.New("turned away")})
 	for i := range maxPartners + 1 {
-		teller.gossip.members.RecordHeartbeat(fmt.Sprintf("127.0.0.1:%d", i+1), time.Now())
+		sender.gossip.members.RecordHeartbeat(fmt.Sprintf("127.0.0.1:%d", i+1), time.Now())
 	}
-	teller.gossip.partners.RelayTo = []string{told.gossip.Address()}
-	teller.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a")}, time.Now())
-	teller.gossip.sendNews(time.Now())
-	waitUntil(t, told.watcher.Initialized)
-	assert.Zero(t, told.source.reads)
+	sender.gossip.partners.RelayTo = []string{receiver.gossip.Address()}
+	sender.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a")}, time.Now())
+	sender.gossip.sendNews(time.Now())
+	waitUntil(t, receiver.watcher.Initialized)
+	assert.Zero(t, receiver.source.reads)
 }
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -68,11 +68,11 @@
 // round.
 func (g *Gossip) recordMessage(address, dataCentre string, regularly bool, now time.Time) {
 	g.mu.Lock()
-	note := g.members.RecordContact
+	record := g.members.RecordContact
 	if regularly {
-		note = g.members.RecordHeartbeat
+		record = g.members.RecordHeartbeat
 	}
-	fresh := note(address, now)
+	added := record(address, now)
 	if dataCentre != "" {
 		g.centres[address] = dataCentre
 	}
@@ -81,7 +81,7 @@
 	if g.balancer.SetCentreSilent(centre, false) {
 		g.log.Write(event.CentreHeard, event.F("data_centre", centre), event.F("peer", address))
 	}
-	if fresh {
+	if added {
 		g.log.Write(event.PeerBack, event.F("peer", address))
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -3,7 +3,7 @@
 // hold which parts of prompts, and learns how new their knowledge is.
 //
 //	Exchange   own requests and observations -> how new the peer's knowledge is
-//	Knowledge  own version and mark          -> the configuration and replicas, if newer
+//	Knowledge  own version and list hash     -> the configuration and replicas, if newer
 //
 // In a small fleet each router calls each other one. A large fleet sends the same in
 // datagrams, only some of which are answered (ask.go).
@@ -42,7 +42,7 @@
 	Seeds      []string
 	// Period is the pause between two rounds.
 	Period time.Duration
-	// Poison holds the marks against requests; if nil, Start creates a memory.
+	// Poison holds the marks against requests; if nil, Start creates one.
 	Poison *poison.Tracker
 }
 
@@ -110,7 +110,7 @@
 	busy     map[string]bool
 	// deferred holds the rumors for partners that were busy.
 	deferred map[string]*gossippb.Digest
-	// plain holds the members that mark lists as older builds do.
+	// plain holds the members that hash lists as older builds do.
 	plain map[string]bool
 	// centres maps members to the data centres that they reported.
 	centres map[string]string
@@ -228,15 +228,15 @@
 
 // Run exchanges with the others until ctx ends, and then closes the connections.
 func (g *Gossip) Run(ctx context.Context) {
-	round := time.NewTicker(g.options.Period)
-	defer round.Stop()
-	look := time.NewTicker(g.options.Period / silenceChecks)
-	defer look.Stop()
+	roundTicker := time.NewTicker(g.options.Period)
+	defer roundTicker.Stop()
+	silenceTicker := time.NewTicker(g.options.Period / silenceChecks)
+	defer silenceTicker.Stop()
 	g.runRound(ctx)
-	var told, marked <-chan time.Time
+	var newsTimer, marksTimer <-chan time.Time
 	for {
 		news, _ := g.watcher.Updates()
-		if told != nil {
+		if newsTimer != nil {
 			news = nil
 		}
 		select {
@@ -244,20 +244,20 @@
 			g.stop()
 			return
 		case <-news:
-			told = time.After(newsDelay)
-		case <-told:
-			told = nil
+			newsTimer = time.After(newsDelay)
+		case <-newsTimer:
+			newsTimer = nil
 			g.sendNews(steady.Now())
 		case <-g.poison.Updates():
-			if marked == nil {
-				marked = time.After(marksDelay)
+			if marksTimer == nil {
+				marksTimer = time.After(marksDelay)
 			}
-		case <-marked:
-			marked = nil
+		case <-marksTimer:
+			marksTimer = nil
 			g.sendMarks(ctx, steady.Now())
-		case <-round.C:
+		case <-roundTicker.C:
 			g.runRound(ctx)
-		case <-look.C:
+		case <-silenceTicker.C:
 			g.reportSilentCentres(steady.Now())
 		}
 	}
--- a/internal/gossip/hello_test.go
+++ b/internal/gossip/hello_test.go
@@ -28,8 +28,8 @@
 	first, second := newHourlyRouter(t), newHourlyRouter(t)
 	to, err := netip.ParseAddrPort(second.gossip.Address())
 	require.NoError(t, err)
-	const told = 50
-	for range told {
+	const datagrams = 50
+	for range datagrams {
 		require.NoError(t, first.gossip.datagrams.Send(to, encodeDigest(&gossippb.Digest{AsksOnly: true})))
 	}
 	questions := func(r *router) int {
--- a/internal/gossip/life_test.go
+++ b/internal/gossip/life_test.go
@@ -68,7 +68,7 @@
 	assert.False(t, failed)
 }
 
-// A router is answered with the form of list mark that it uses itself.
+// A router is answered with the list hash in the form that it uses itself.
 func TestOlderBuildIsAnsweredInItsForm(t *testing.T) {
 	r := newIdleRouter(t, &source{})
 	list := replicas("a", "b")
@@ -76,14 +76,14 @@
 		list[i].Born = int64(i + 1)
 	}
 	require.NoError(t, r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list}, steady.Now()))
-	word, plain := r.watcher.Digest(), r.watcher.PlainHash()
-	require.NotEqual(t, word.ListHash, plain)
-	told := uint32(1)
+	digest, plain := r.watcher.Digest(), r.watcher.PlainHash()
+	require.NotEqual(t, digest.ListHash, plain)
+	age := uint32(1)
 	for _, step := range []struct {
 		mark, want uint64
 		plain      int
-	}{{word.ListHash, word.ListHash, 0}, {plain, plain, 1}, {7, plain, 1}, {word.ListHash, word.ListHash, 0}} {
-		d := &gossippb.Digest{Sender: "127.0.0.9:9", Version: 4, Mark: step.mark, ProofMs: &told}
+	}{{digest.ListHash, digest.ListHash, 0}, {plain, plain, 1}, {7, plain, 1}, {digest.ListHash, digest.ListHash, 0}} {
+		d := &gossippb.Digest{Sender: "127.0.0.9:9", Version: 4, Mark: step.mark, ProofMs: &age}
 		answer, err := r.gossip.Exchange(t.Context(), d)
 		require.NoError(t, err)
 		assert.Equal(t, step.want, answer.Mark, "after %d", step.mark)
--- a/internal/gossip/round.go
+++ b/internal/gossip/round.go
@@ -18,14 +18,14 @@
 	large := g.members.Large()
 	partners := g.members.Partners(now)
 	known, changes := g.members.KnownAddresses(), g.members.Changes()
-	news := changes != g.announcedChanges
+	changed := changes != g.announcedChanges
 	g.announcedChanges = changes
 	g.partners = partners
 	g.round++
 	round := g.round
 	g.mu.Unlock()
 	g.balancer.SetLargeFleet(large)
-	if news {
+	if changed {
 		g.balancer.SetRouters(g.server.Address(), known, now)
 	}
 	g.balancer.SetHoldersSynced(g.holdersKnown.Load())
--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -67,9 +67,9 @@
 
 // ownDigest returns what this router knows and the age of the proof, which is nil before
 // there is one.
-func (g *Gossip) ownDigest(now time.Time) (word watch.Digest, proofMs *uint32) {
+func (g *Gossip) ownDigest(now time.Time) (digest watch.Digest, proofMs *uint32) {
 	if !g.watcher.Initialized() {
-		return word, nil
+		return digest, nil
 	}
 	age := uint32(g.watcher.Age(now).Milliseconds()) + 1
 	return g.watcher.Digest(), &age
@@ -97,13 +97,13 @@
 
 // mergeCounts merges the counts that a router sends for itself or for its line.
 func (g *Gossip) mergeCounts(d *gossippb.Digest, now time.Time) {
-	told := decodeDigest(d, now)
+	update := decodeDigest(d, now)
 	if d.Lines > 0 {
-		line := balance.LineCounts{Counts: told.Running, Singles: decodeSingles(d.Singles)}
-		g.balancer.MergeLine(balance.Line{Number: int(d.Line), Total: int(d.Lines)}, line, told.Rumors, now)
+		line := balance.LineCounts{Counts: update.Running, Singles: decodeSingles(d.Singles)}
+		g.balancer.MergeLine(balance.Line{Number: int(d.Line), Total: int(d.Lines)}, line, update.Rumors, now)
 		return
 	}
-	g.balancer.MergePeer(d.Sender, told, now)
+	g.balancer.MergePeer(d.Sender, update, now)
 }
 
 // packed is one state of a value in wire form.
--- a/internal/gossip/silence.go
+++ b/internal/gossip/silence.go
@@ -42,11 +42,11 @@
 	// youngest is the time since a member of each data centre was last heard.
 	youngest := make(map[string]time.Duration)
 	anyone := false
-	look := g.members.Rows
+	rows := g.members.Rows
 	if g.members.Large() {
-		look = g.members.DirectRows
+		rows = g.members.DirectRows
 	}
-	for _, row := range look(now) {
+	for _, row := range rows(now) {
 		centre := g.centres[row.Address]
 		if members[centre]++; members[centre] == 1 || row.Age < youngest[centre] {
 			youngest[centre] = row.Age
--- a/internal/gossip/silent_test.go
+++ b/internal/gossip/silent_test.go
@@ -12,15 +12,15 @@
 )
 
 func TestExchangeSurvivesSilentConnection(t *testing.T) {
-	told, teller := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
-	relay, err := faulty.NewRelay(told.gossip.Address())
+	receiver, sender := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
+	relay, err := faulty.NewRelay(receiver.gossip.Address())
 	require.NoError(t, err)
 	t.Cleanup(relay.Close)
-	teller.gossip.exchange(context.Background(), relay.Address(), &gossippb.Digest{Sender: "10.0.0.1:1"})
-	require.Equal(t, 2, told.gossip.MemberCount())
+	sender.gossip.exchange(context.Background(), relay.Address(), &gossippb.Digest{Sender: "10.0.0.1:1"})
+	require.Equal(t, 2, receiver.gossip.MemberCount())
 	relay.Silence()
 
-	teller.gossip.exchange(context.Background(), relay.Address(), &gossippb.Digest{Sender: "10.0.0.2:1"})
-	assert.Equal(t, 3, told.gossip.MemberCount(), "a digest's rumors are sent once and must not be lost")
+	sender.gossip.exchange(context.Background(), relay.Address(), &gossippb.Digest{Sender: "10.0.0.2:1"})
+	assert.Equal(t, 3, receiver.gossip.MemberCount(), "a digest's rumors are sent once and must not be lost")
 	assert.Equal(t, 2, relay.Opened())
 }
--- a/internal/gossip/teach_test.go
+++ b/internal/gossip/teach_test.go
@@ -11,24 +11,24 @@
 )
 
 func TestKnowledgeRepliesFitLinkRate(t *testing.T) {
-	var taught sendBudget
+	var budget sendBudget
 	now := time.Now()
 	const list = 57 << 10
 	answered := 0
 	for range 99 {
-		if taught.allow(list, now) {
+		if budget.allow(list, now) {
 			answered++
 		}
 	}
 	assert.Equal(t, 6, answered, "at once")
 	assert.Less(t, float64(answered*list)/knowledgeRate, knowledgeTimeout.Seconds()/2)
 	for ms := range 1000 {
-		if taught.allow(list, now.Add(time.Duration(ms)*time.Millisecond)) {
+		if budget.allow(list, now.Add(time.Duration(ms)*time.Millisecond)) {
 			answered++
 		}
 	}
 	assert.InDelta(t, knowledgeRate/list+6, answered, 1, "then as many as the link can carry")
-	assert.True(t, taught.allow(64<<20, now.Add(time.Minute)), "a reply above the whole budget is sent alone")
+	assert.True(t, budget.allow(64<<20, now.Add(time.Minute)), "a reply above the whole budget is sent alone")
 }
 
 // A router whose request is refused keeps what it has, and learns later.
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -22,7 +22,7 @@
 
 // digests returns the messages of this round.
 func (g *Gossip) digests(now time.Time, large bool) digests {
-	told := g.balancer.TakePeerUpdate(now)
+	update := g.balancer.TakePeerUpdate(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	rumors := &gossippb.Digest{Stopping: g.stopped}
@@ -31,21 +31,21 @@
 	}
 	g.addOwnDigest(rumors, now)
 	encodeRows(rumors, g.members.TakeNew(maxRows, now))
-	encodeRumors(rumors, told.Rumors, now)
+	encodeRumors(rumors, update.Rumors, now)
 	if !large {
 		// In a large fleet each mark arrives over many paths at once, and a repetition
 		// would go to some twenty partners of each router.
 		rumors.Marks = encodeMarks(g.poison.Recent(now), now)
 	}
 	d := digests{own: proto.CloneOf(rumors), hello: g.hello(now)}
-	encodeCounts(d.own, told.Running)
+	encodeCounts(d.own, update.Running)
 	if large {
 		d.line = rumors
 		line, lines := g.members.Line()
 		d.line.Line, d.line.Lines = uint32(line), uint32(lines)
-		told := g.balancer.SumLine(now)
-		encodeCounts(d.line, told.Counts)
-		for _, single := range told.Singles {
+		sum := g.balancer.SumLine(now)
+		encodeCounts(d.line, sum.Counts)
+		for _, single := range sum.Singles {
 			d.line.Singles = binary.LittleEndian.AppendUint16(d.line.Singles, single)
 		}
 	}
--- a/pkg/membership/lines.go
+++ b/pkg/membership/lines.go
@@ -99,9 +99,9 @@
 }
 
 // relayWeight ranks the members of a line for one of the others: the highest sends to it.
-func relayWeight(teller uint64, other *member) uint64 {
+func relayWeight(sender uint64, other *member) uint64 {
 	var pair [16]byte
-	binary.LittleEndian.PutUint64(pair[:8], teller)
+	binary.LittleEndian.PutUint64(pair[:8], sender)
 	binary.LittleEndian.PutUint64(pair[8:], other.hash)
 	return xxhash.Sum64(pair[:])
 }
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -123,11 +123,11 @@
 // RecordHeartbeat records a message from a member that sends one in each round, and
 // reports whether the member is new.
 func (t *Table) RecordHeartbeat(address string, now time.Time) bool {
-	fresh := t.RecordContact(address, now)
+	added := t.RecordContact(address, now)
 	if m := t.members[address]; m != nil {
 		m.direct = now
 	}
-	return fresh
+	return added
 }
 
 // RecordContact records a message from a member that does not send one in each round, and
@@ -136,15 +136,15 @@
 	if address == t.own || address == "" {
 		return false
 	}
-	m, fresh := t.member(address)
-	if fresh {
+	m, added := t.member(address)
+	if added {
 		t.newMembers = append(t.newMembers, address)
 	}
 	m.heard = now
 	m.unanswered = time.Time{}
 	delete(t.left, address)
 	t.stopSearch(address)
-	return fresh
+	return added
 }
 
 // member returns a member, and adds it if it is missing.
--- a/pkg/owner/handover.go
+++ b/pkg/owner/handover.go
@@ -49,12 +49,12 @@
 	delete(h.previous, engine)
 }
 
-// NotifyOwners calls tell for each other router that needs the number of self's requests
+// NotifyOwners calls notify for each other router that needs the number of self's requests
 // at the engine.
-func (h *Handover) NotifyOwners(engine, self uint64, now time.Time, tell func(router uint64)) {
+func (h *Handover) NotifyOwners(engine, self uint64, now time.Time, notify func(router uint64)) {
 	owner, known := h.current[engine]
 	if known && owner != self {
-		tell(owner)
+		notify(owner)
 	}
 	before, changed := h.previous[engine]
 	if !changed {
@@ -65,6 +65,6 @@
 		return
 	}
 	if before.owner != self && before.owner != owner {
-		tell(before.owner)
+		notify(before.owner)
 	}
 }
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -181,18 +181,18 @@
 func TestHandover(t *testing.T) {
 	const engine, self, old, other = 1, 10, 20, 30
 	h := NewHandover()
-	tells := func(now time.Time) (routers []uint64) {
+	notified := func(now time.Time) (routers []uint64) {
 		h.NotifyOwners(engine, self, now, func(router uint64) { routers = append(routers, router) })
 		return routers
 	}
 	assert.False(t, h.SetOwner(engine, old, self, start))
-	assert.Equal(t, []uint64{old}, tells(start))
+	assert.Equal(t, []uint64{old}, notified(start))
 	assert.True(t, h.SetOwner(engine, self, self, start), "gained")
 	assert.False(t, h.SetOwner(engine, self, self, start))
-	assert.Equal(t, []uint64{old}, tells(start), "the previous owner may not have seen the change")
-	assert.Empty(t, tells(start.Add(handoverTime+time.Second)))
+	assert.Equal(t, []uint64{old}, notified(start), "the previous owner may not have seen the change")
+	assert.Empty(t, notified(start.Add(handoverTime+time.Second)))
 	h.SetOwner(engine, other, self, start)
-	assert.Equal(t, []uint64{other}, tells(start))
+	assert.Equal(t, []uint64{other}, notified(start))
 	h.Forget(engine)
-	assert.Empty(t, tells(start))
+	assert.Empty(t, notified(start))
 }
