--- a/internal/gossip/fleet_bench_test.go
+++ b/internal/gossip/fleet_bench_test.go
@@ -18,19 +18,20 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-// The users' pause between two rounds, and how many engines the largest sites list.
+// The time between two rounds at the users, and how many engines the largest sites list.
 const (
 	benchPeriod   = 300 * time.Millisecond
 	benchReplicas = 240
-	// benchSettle is how long a fleet that starts at once is left to meet.
+	// benchSettle is how long a fleet that starts at once has for its routers to find
+	// each other.
 	benchSettle = 6 * time.Second
-	// benchTime is for how long it is then measured.
+	// benchTime is how long the fleet is measured after that.
 	benchTime = 5 * time.Second
 )
 
-// BenchmarkIdleFleet tells what it costs a router that others are there: real
-// routers, all in this process, which list engines and serve nobody. One of them
-// reads the store once a second.
+// BenchmarkIdleFleet measures the cost to a router of the others: real routers, all in
+// this process, that list engines and serve no requests. One of them reads the store once
+// a second.
 func BenchmarkIdleFleet(b *testing.B) {
 	for _, routers := range []int{9, 30, 100, 295} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
@@ -55,14 +56,14 @@
 	}
 	reader := fleet[routers/2]
 	done.Go(func() { readEachSecond(ctx, reader) })
-	started := processorTime(b)
+	started := cpuTime(b)
 	time.Sleep(benchSettle)
-	used, bytes := processorTime(b), sentBytes(fleet)
+	used, bytes := cpuTime(b), sentBytes(fleet)
 	b.ReportMetric(float64(used-started)/1e6/float64(routers), "start-cpu-ms/router")
 	b.ReportMetric(float64(bytes)/float64(routers), "start-B-sent/router")
 	time.Sleep(benchTime)
 	perRouter := 1 / (benchTime.Seconds() * float64(routers))
-	b.ReportMetric(float64(processorTime(b)-used)/1e6*perRouter, "cpu-ms/router/s")
+	b.ReportMetric(float64(cpuTime(b)-used)/1e6*perRouter, "cpu-ms/router/s")
 	b.ReportMetric(float64(sentBytes(fleet)-bytes)*perRouter, "B-sent/router/s")
 	known, oldest := 0, time.Duration(0)
 	for _, r := range fleet {
@@ -105,8 +106,8 @@
 	}
 }
 
-// processorTime is what this process has used, in nanoseconds.
-func processorTime(b *testing.B) int64 {
+// cpuTime returns the processor time that this process has used, in nanoseconds.
+func cpuTime(b *testing.B) int64 {
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return u.Utime.Nano() + u.Stime.Nano()
--- a/internal/gossip/forms.go
+++ b/internal/gossip/forms.go
@@ -6,12 +6,13 @@
 	"github.com/croftyard/croftyard/internal/gossip/gossippb"
 )
 
-// Routers of two builds run side by side during an upgrade, and one that knows less of an
-// entry names the same list by another mark. Told in its own form it sees that it has the
-// same; else it would take the whole list with each new proof.
+// During an upgrade routers of two builds run side by side, and one that knows fewer
+// fields of an entry computes another hash of the same list. It gets the hash in its own
+// form, to see that it has the same list; otherwise it would fetch the whole list with
+// each new proof.
 
-// noteForm notes in which form a router names lists.
-func (g *Gossip) noteForm(d *gossippb.Digest) {
+// recordForm records in which form a router hashes lists.
+func (g *Gossip) recordForm(d *gossippb.Digest) {
 	if d.ProofMs == nil {
 		return
 	}
@@ -28,30 +29,30 @@
 	}
 }
 
-// forgetForm forgets in which form a router names lists.
+// forgetForm forgets in which form a router hashes lists.
 func (g *Gossip) forgetForm(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.plain, address)
 }
 
-// speaksPlain tells whether a router names lists as older builds do.
-func (g *Gossip) speaksPlain(address string) bool {
+// usesPlainForm reports whether a router hashes lists as older builds do.
+func (g *Gossip) usesPlainForm(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.plain[address]
 }
 
-// OlderFormatPeers returns how many of the routers known are of a build that names lists in an older
-// form.
+// OlderFormatPeers returns how many of the known routers run a build that hashes lists in
+// an older form.
 func (g *Gossip) OlderFormatPeers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.plain)
 }
 
-// inPlain returns a digest as older builds understand it.
-func (g *Gossip) inPlain(d *gossippb.Digest) *gossippb.Digest {
+// inPlainForm returns a digest with the list hash of older builds.
+func (g *Gossip) inPlainForm(d *gossippb.Digest) *gossippb.Digest {
 	if d == nil || d.ProofMs == nil {
 		return d
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -45,7 +45,7 @@
 	return s.snapshot, s.err
 }
 
-// router is what gossip needs of one.
+// router holds the parts of a router that gossip needs.
 type router struct {
 	gossip   *Gossip
 	watcher  *watch.Watcher
@@ -56,7 +56,7 @@
 
 func newRouter(t *testing.T, s *source, seeds ...string) *router {
 	t.Helper()
-	r := newRestingRouter(t, s, seeds...)
+	r := newIdleRouter(t, s, seeds...)
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { r.gossip.Run(ctx) })
@@ -67,8 +67,8 @@
 	return r
 }
 
-// awaitRound waits for a round that began after now to end: from it on the router acts by whom it
-// knows now, as one of a large fleet or of a small one.
+// awaitRound waits for a round that began after the call to end: from then on the router
+// acts as one of a large or a small fleet, by the members that it knows now.
 func (r *router) awaitRound(t *testing.T) {
 	t.Helper()
 	round := func() int {
@@ -77,11 +77,11 @@
 		return int(r.gossip.round)
 	}
 	begun := round()
-	until(t, func() bool { return round() >= begun+2 })
+	waitUntil(t, func() bool { return round() >= begun+2 })
 }
 
-// newRestingRouter answers others but makes no rounds by itself.
-func newRestingRouter(t *testing.T, s *source, seeds ...string) *router {
+// newIdleRouter returns a router that answers others but runs no rounds by itself.
+func newIdleRouter(t *testing.T, s *source, seeds ...string) *router {
 	t.Helper()
 	r := &router{holder: freshness.NewHolder(), balancer: balance.New(1), source: s}
 	r.watcher = watch.New(s, watch.Options{Period: time.Hour, Timeout: time.Second}, directory.New(time.Hour, time.Hour), r.holder, r.balancer, event.Discard())
@@ -104,16 +104,16 @@
 	return list
 }
 
-// until waits for a condition; the test's own limit ends a wait in vain.
-func until(t *testing.T, condition func() bool) {
+// waitUntil waits for a condition; the test's own timeout ends a wait that would not end.
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	for !condition() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A router that starts again is known to others, which call it as soon as it listens.
-func TestACallThatComesWithTheStartFindsTheMembers(t *testing.T) {
+// Peers know the address of a router that restarts, and call it as soon as it listens.
+func TestCallDuringStartFindsMembers(t *testing.T) {
 	for range 20 {
 		g := &router{holder: freshness.NewHolder(), balancer: balance.New(1), source: &source{}}
 		g.watcher = watch.New(g.source, watch.Options{Period: time.Hour, Timeout: time.Second}, directory.New(time.Hour, time.Hour), g.holder, g.balancer, event.Discard())
@@ -124,7 +124,7 @@
 		called := make(chan struct{})
 		go func() {
 			defer close(called)
-			until(t, func() bool {
+			waitUntil(t, func() bool {
 				return client.Control(t.Context(), address, peer.Bound{Call: time.Minute}, func(ctx context.Context, conn drpc.Conn) error {
 					_, err := gossippb.NewDRPCGossipClient(conn).Exchange(ctx, &gossippb.Digest{Sender: "127.0.0.2:1"})
 					return err
@@ -141,98 +141,98 @@
 	}
 }
 
-func TestARouterThatTheSourceTurnsAwayLearnsFromItsPeers(t *testing.T) {
+func TestRouterRefusedBySourceLearnsFromPeers(t *testing.T) {
 	first := newRouter(t, &source{})
 	second := newRouter(t, &source{err: errors.New("turned away")}, first.gossip.Address())
 	third := newRouter(t, &source{err: errors.New("turned away")}, second.gossip.Address())
 	read := time.Now()
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: replicas("a", "b")}, read)
 	for _, r := range []*router{second, third} {
-		until(t, r.watcher.Initialized)
+		waitUntil(t, r.watcher.Initialized)
 		assert.EqualValues(t, 4, r.holder.Current().Table.Version())
-		until(t, func() bool { return r.balancer.ReadyCount("s") == 2 })
-		assert.False(t, r.holder.Current().ProvenAt.After(read), "a proof gains nothing on its way")
+		waitUntil(t, func() bool { return r.balancer.ReadyCount("s") == 2 })
+		assert.False(t, r.holder.Current().ProvenAt.After(read), "a proof does not get newer in transit")
 		assert.Zero(t, r.source.reads)
 	}
-	until(t, func() bool { return first.gossip.MemberCount() == 3 && third.gossip.MemberCount() == 3 })
+	waitUntil(t, func() bool { return first.gossip.MemberCount() == 3 && third.gossip.MemberCount() == 3 })
 
 	later := time.Now()
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(5), Replicas: replicas("b")}, later)
-	until(t, func() bool { return third.holder.Current().Table.Version() == 5 && third.balancer.ReadyCount("s") == 1 })
+	waitUntil(t, func() bool { return third.holder.Current().Table.Version() == 5 && third.balancer.ReadyCount("s") == 1 })
 	assert.False(t, third.holder.Current().ProvenAt.After(later))
 }
 
-func TestAnEvacuationReachesRoutersThatTheSourceTurnsAway(t *testing.T) {
+func TestEvacuationReachesRoutersRefusedBySource(t *testing.T) {
 	list := replicas("a", "b")
 	list[0].DataCentre = "north"
 	first := newRouter(t, &source{})
 	second := newRouter(t, &source{err: errors.New("turned away")}, first.gossip.Address())
 	third := newRouter(t, &source{err: errors.New("turned away")}, second.gossip.Address())
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list}, time.Now())
-	until(t, func() bool { return third.balancer.ReadyCount("s") == 2 })
+	waitUntil(t, func() bool { return third.balancer.ReadyCount("s") == 2 })
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list, Evacuated: []string{"north"}}, time.Now())
 	for _, r := range []*router{second, third} {
-		until(t, func() bool { return r.balancer.ReadyCount("s") == 1 })
+		waitUntil(t, func() bool { return r.balancer.ReadyCount("s") == 1 })
 		assert.Zero(t, r.source.reads)
 	}
 }
 
-func TestRoutersLearnWithWhomTheyShareColdReplicas(t *testing.T) {
+func TestColdReplicasAreSharedAmongKnownRouters(t *testing.T) {
 	r := newRouter(t, &source{})
 	r.balancer.SetColdBounds(balance.ColdBounds{Overage: 1.5, Allowance: 5})
 	list := replicas("a")
 	list[0].Cold, list[0].ColdLeft = true, time.Hour
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(4), Replicas: list}, time.Now())
-	until(t, func() bool {
-		// Long after the start, but long before it is warm.
+	waitUntil(t, func() bool {
+		// This is long after the start, but long before the replica is warm.
 		_, found := r.balancer.Pick(balance.Request{Service: "s", ColdRate: 1}, time.Now().Add(time.Minute))
 		return found
 	})
 }
 
-func TestAnOlderPeerTakesNothingBack(t *testing.T) {
+func TestOlderPeerRevertsNothing(t *testing.T) {
 	old := newRouter(t, &source{})
 	old.watcher.ApplySnapshot(watch.Snapshot{Config: config(3), Replicas: replicas("gone")}, time.Now())
 	r := newRouter(t, &source{}, old.gossip.Address())
 	proven := time.Now()
 	r.watcher.ApplySnapshot(watch.Snapshot{Config: config(8), Replicas: replicas("a")}, proven)
-	until(t, func() bool { return old.holder.Current().Table.Version() == 8 })
+	waitUntil(t, func() bool { return old.holder.Current().Table.Version() == 8 })
 	assert.EqualValues(t, 8, r.holder.Current().Table.Version())
 	assert.Equal(t, "a", r.watcher.Replicas()[0].ID)
 }
 
-func TestWhatRoutersRunAndSeeReachesTheOthers(t *testing.T) {
+func TestObservationsReachOtherRouters(t *testing.T) {
 	first := newRouter(t, &source{})
 	second := newRouter(t, &source{}, first.gossip.Address())
 	for _, r := range []*router{first, second} {
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 	}
-	until(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
+	waitUntil(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
 	first.balancer.RequestFailed("a", balance.Refused, "", time.Now())
-	until(t, func() bool { return second.balancer.Suspected("a", time.Now()) })
+	waitUntil(t, func() bool { return second.balancer.Suspected("a", time.Now()) })
 	assert.False(t, second.balancer.Suspected("b", time.Now()))
 }
 
-func TestWhoLeavesIsForgottenAtOnce(t *testing.T) {
+func TestLeavingRouterIsForgottenAtOnce(t *testing.T) {
 	first := newRouter(t, &source{})
 	second := newRouter(t, &source{}, first.gossip.Address())
-	until(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
+	waitUntil(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
 	second.gossip.Leave()
-	until(t, func() bool { return first.gossip.MemberCount() == 1 })
-	// Whoever asks it is told as well, so that it is not taken for back.
+	waitUntil(t, func() bool { return first.gossip.MemberCount() == 1 })
+	// A router that queries it is told as well, and so does not add it again.
 	first.gossip.exchange(context.Background(), second.gossip.Address(), &gossippb.Digest{Sender: first.gossip.Address()})
 	assert.Equal(t, 1, first.gossip.MemberCount())
 }
 
-func TestDamagedDigestsAreReadAsFarAsTheyGo(t *testing.T) {
+func TestDamagedDigestsAreReadToShortestColumn(t *testing.T) {
 	now := time.Now()
-	told := decode(&gossippb.Digest{Replica: []uint32{1, 2}, Running: []uint32{3}, Failed: []uint32{1}, Failure: []uint32{2}, Part: []uint64{1}}, now)
+	told := decodeDigest(&gossippb.Digest{Replica: []uint32{1, 2}, Running: []uint32{3}, Failed: []uint32{1}, Failure: []uint32{2}, Part: []uint64{1}}, now)
 	assert.Equal(t, balance.PeerUpdate{Running: []balance.ReplicaCount{{Replica: 1, Running: 3}}}, told)
 	assert.Empty(t, decodeRows([]string{"a"}, nil))
 	assert.Equal(t, []uint16{0x0201}, decodeSingles([]byte{1, 2, 3}))
 }
 
-func TestADataCentreOfWhichNobodyIsHeardIsSilent(t *testing.T) {
+func TestDataCentreWithNoHeardMemberIsSilent(t *testing.T) {
 	now := time.Now()
 	g := &Gossip{options: Options{DataCentre: "here", Period: 100 * time.Millisecond}, members: membership.New("me", nil, maxPartners),
 		centres: map[string]string{"a1": "a", "a2": "a", "b1": "b", "h1": "here"}}
@@ -242,28 +242,28 @@
 	g.members.RecordHeartbeat("b1", now.Add(125*time.Millisecond))
 	assert.Empty(t, g.silentCentres(now.Add(130*time.Millisecond)))
 	assert.Equal(t, []string{"a"}, g.silentCentres(now.Add(131*time.Millisecond)), "after 1.3 rounds")
-	assert.Empty(t, g.silentCentres(now.Add(time.Second)), "nobody at all is heard: the fault is here")
+	assert.Empty(t, g.silentCentres(now.Add(time.Second)), "no router at all is heard: the fault is local")
 	g.members.RecordHeartbeat("h1", now.Add(time.Second))
 	assert.Equal(t, []string{"a"}, g.silentCentres(now.Add(time.Second)), "b has one member, which may have died")
 	g.members.RecordHeartbeat("a2", now.Add(time.Second))
 	assert.Empty(t, g.silentCentres(now.Add(time.Second)))
 }
 
-func TestARouterThatStartsRecallsHoldersFromOneThatKnows(t *testing.T) {
+func TestNewRouterLearnsHoldersFromPeer(t *testing.T) {
 	parts := []balance.Part{{ID: 7, Tokens: 100}, {ID: 8, Tokens: 5}}
 	first := newRouter(t, &source{})
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
 	first.balancer.PartsReported("a", parts, time.Now())
 	second := newRouter(t, &source{}, first.gossip.Address())
 	second.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a", "b")}, time.Now())
-	until(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
-	assert.False(t, second.gossip.HoldersKnown(), "the first one knows no more than it happened to see")
+	waitUntil(t, func() bool { return first.gossip.MemberCount() == 2 && second.gossip.MemberCount() == 2 })
+	assert.False(t, second.gossip.HoldersKnown(), "the first router knows only the holders that it saw itself")
 	first.gossip.SetHoldersKnown()
-	until(t, second.gossip.HoldersKnown)
+	waitUntil(t, second.gossip.HoldersKnown)
 	assert.Len(t, second.balancer.Holders(time.Now()), 2)
 }
 
-func TestEachTaskIsOneRouters(t *testing.T) {
+func TestEachTaskHasOneOwner(t *testing.T) {
 	tables := []*membership.Table{membership.New("a", nil, maxPartners), membership.New("b", nil, maxPartners), membership.New("c", nil, maxPartners)}
 	now := time.Now()
 	for _, table := range tables {
@@ -282,24 +282,25 @@
 	}
 }
 
-// An answer says how old the proof was when it was given. What it refutes goes by the
-// youngest that the proof may be: the way there, which is long over a choked link, is not
-// taken for age.
-func TestAnotherRoutersWordIsNotMadeOlderByItsWay(t *testing.T) {
+// An answer contains the age of the proof when it was sent. To judge whether the source
+// answers, the proof counts as young as it can be: the time of the query in transit,
+// which is long over a congested link, does not add to its age.
+func TestPeerProofAgeExcludesTransitTime(t *testing.T) {
 	const age, limit = 55 * time.Minute, time.Hour
-	first := newRestingRouter(t, &source{})
+	first := newIdleRouter(t, &source{})
 	first.watcher.ApplySnapshot(watch.Snapshot{Config: config(1)}, time.Now().Add(-age))
-	second := newRestingRouter(t, &source{err: errors.New("down")})
+	second := newIdleRouter(t, &source{err: errors.New("down")})
 	second.watcher.ApplySnapshot(watch.Snapshot{Config: config(1)}, time.Now().Add(-limit))
 	require.Error(t, second.watcher.RefreshList(t.Context(), time.Now()))
-	second.gossip.exchange(t.Context(), slowWay(t, first.gossip.Address()), &gossippb.Digest{Sender: second.gossip.Address()})
-	// At this moment the proof is just young enough; counted from the asking it is not.
+	second.gossip.exchange(t.Context(), startSlowRelay(t, first.gossip.Address()), &gossippb.Digest{Sender: second.gossip.Address()})
+	// Now the proof is just young enough; dated from the query it would not be.
 	now := first.holder.Current().ProvenAt.Add(limit - 2*time.Millisecond)
 	assert.False(t, second.watcher.StoreUnavailable(limit, now), "another router was answered within the limit")
 }
 
-// slowWay passes on what comes to it, a while later, and what comes back at once.
-func slowWay(t *testing.T, to string) string {
+// startSlowRelay starts a relay that delays what it forwards, and forwards replies at
+// once.
+func startSlowRelay(t *testing.T, to string) string {
 	t.Helper()
 	const delay = 50 * time.Millisecond
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gossip/serve.go
+++ b/internal/gossip/serve.go
@@ -16,28 +16,28 @@
 // Exchange implements the generated interface.
 func (g *Gossip) Exchange(_ context.Context, d *gossippb.Digest) (*gossippb.Freshness, error) {
 	now := steady.Now()
-	g.take(d, now)
+	g.applyDigest(d, now)
 	reply := g.answer(d, now)
 	g.meter.Received(d, reply)
 	return reply, nil
 }
 
-// take takes what a router tells.
-func (g *Gossip) take(d *gossippb.Digest, now time.Time) {
+// applyDigest applies a digest from another router.
+func (g *Gossip) applyDigest(d *gossippb.Digest, now time.Time) {
 	if d.Stopping {
-		g.left(d.Sender, now)
+		g.recordLeave(d.Sender, now)
 	} else {
-		g.heard(d.Sender, d.DataCentre, !d.AsksOnly, now)
+		g.recordMessage(d.Sender, d.DataCentre, !d.AsksOnly, now)
 	}
 	switch {
 	case d.Stopping:
 	case d.AsksOnly:
-		g.balancer.MergeRumors(decode(d, now).Rumors, now)
+		g.balancer.MergeRumors(decodeDigest(d, now).Rumors, now)
 	default:
-		g.merge(d, now)
+		g.mergeCounts(d, now)
 	}
-	g.takeMarks(d.Marks, now)
-	g.noteForm(d)
+	g.mergeMarks(d.Marks, now)
+	g.recordForm(d)
 	if d.ReadFailedMs != nil {
 		g.watcher.ObservePeerFailure(now.Add(-milliseconds(d.GetReadFailedMs())))
 	}
@@ -47,7 +47,7 @@
 	g.members.MergeAliveHashes(d.Alive, now)
 }
 
-// answer tells a router how new this one's knowledge is.
+// answer returns how new this router's knowledge is.
 func (g *Gossip) answer(d *gossippb.Digest, now time.Time) *gossippb.Freshness {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -55,9 +55,9 @@
 	if d.Hello {
 		reply.DataCentre = g.options.DataCentre
 		reply.Member, reply.HeardMs = g.rows(now)
-		reply.Marks = encodeMarks(g.poison.Sample(sampleRequests), now)
+		reply.Marks = encodeMarks(g.poison.Sample(maxHelloMarks), now)
 	}
-	word, age := g.knows(now)
+	word, age := g.ownDigest(now)
 	if g.plain[d.Sender] {
 		word.ListHash = g.watcher.PlainHash()
 	}
@@ -65,28 +65,28 @@
 	return reply
 }
 
-// knows returns what this router knows and how old the proof is, which is nil before
+// ownDigest returns what this router knows and the age of the proof, which is nil before
 // there is one.
-func (g *Gossip) knows(now time.Time) (word watch.Digest, proofMs *uint32) {
+func (g *Gossip) ownDigest(now time.Time) (digest watch.Digest, proofMs *uint32) {
 	if !g.watcher.Initialized() {
-		return word, nil
+		return digest, nil
 	}
 	age := uint32(g.watcher.Age(now).Milliseconds()) + 1
 	return g.watcher.Digest(), &age
 }
 
-// tellsKnown adds to a digest what this router knows.
-func (g *Gossip) tellsKnown(d *gossippb.Digest, now time.Time) {
+// addOwnDigest adds what this router knows to a digest.
+func (g *Gossip) addOwnDigest(d *gossippb.Digest, now time.Time) {
 	if age, failed := g.watcher.LastFailure(now); failed {
 		milliseconds := uint32(age.Milliseconds())
 		d.ReadFailedMs = &milliseconds
 	}
-	word, age := g.knows(now)
+	word, age := g.ownDigest(now)
 	d.Version, d.Mark, d.Generation, d.Facts, d.ProofMs = word.Version, word.ListHash, word.Generation, word.FactsHash, age
 }
 
-// wordOf is what a digest or an answer says that its sender knows.
-func wordOf(m interface {
+// digestOf returns what the sender of a digest or an answer knows.
+func digestOf(m interface {
 	GetVersion() uint64
 	GetMark() uint64
 	GetGeneration() uint64
@@ -95,31 +95,32 @@
 	return watch.Digest{Version: m.GetVersion(), ListHash: m.GetMark(), Generation: m.GetGeneration(), FactsHash: m.GetFacts()}
 }
 
-// merge takes what a router tells of itself or of its line.
-func (g *Gossip) merge(d *gossippb.Digest, now time.Time) {
-	told := decode(d, now)
+// mergeCounts merges the counts that a router sends for itself or for its line.
+func (g *Gossip) mergeCounts(d *gossippb.Digest, now time.Time) {
+	update := decodeDigest(d, now)
 	if d.Lines > 0 {
-		line := balance.LineCounts{Counts: told.Running, Singles: decodeSingles(d.Singles)}
-		g.balancer.MergeLine(balance.Line{Number: int(d.Line), Total: int(d.Lines)}, line, told.Rumors, now)
+		line := balance.LineCounts{Counts: update.Running, Singles: decodeSingles(d.Singles)}
+		g.balancer.MergeLine(balance.Line{Number: int(d.Line), Total: int(d.Lines)}, line, update.Rumors, now)
 		return
 	}
-	g.balancer.MergePeer(d.Sender, told, now)
+	g.balancer.MergePeer(d.Sender, update, now)
 }
 
-// packed is one state of a value in the wire form.
+// packed is one state of a value in wire form.
 type packed[K comparable] struct {
 	key  K
 	text []byte
 }
 
-// listKey names a list as it is passed on: how long replicas stay cold counts from
-// the read.
+// listKey identifies an encoded list. It includes the time of the read, from which the
+// remaining cold time of replicas counts.
 type listKey struct {
 	mark uint64
 	read time.Time
 }
 
-// packOnce packs each state of a value once: when something is new, many ask for it.
+// packOnce packs each state of a value once: when something is new, many routers request
+// it.
 func packOnce[K comparable](last *atomic.Pointer[packed[K]], key K, value any) ([]byte, error) {
 	if p := last.Load(); p != nil && p.key == key {
 		return p.text, nil
@@ -132,7 +133,7 @@
 	return text, nil
 }
 
-// maxGenerationAge is the greatest age of a generation that is told: long past any hold.
+// maxGenerationAge caps the age of a generation that is sent. It is far above any hold.
 const maxGenerationAge = time.Hour
 
 // Knowledge implements the generated interface.
@@ -147,11 +148,11 @@
 	if err := g.encodeKnowledge(reply, k); err != nil {
 		return nil, err
 	}
-	if r.Holders && g.recalled.Load() {
+	if r.Holders && g.holdersKnown.Load() {
 		reply.Part, reply.Holder = encodeHolders(g.balancer.Holders(steady.Now()))
 	}
-	if !g.teaching.take(proto.Size(reply), steady.Now()) {
-		// The caller goes on with what it has, and asks whoever it hears from next.
+	if !g.budget.allow(proto.Size(reply), steady.Now()) {
+		// The caller keeps what it has, and queries the next router that it hears from.
 		g.refused.Add(1)
 		return &gossippb.KnowledgeReply{}, nil
 	}
@@ -159,7 +160,7 @@
 	return reply, nil
 }
 
-// encodeKnowledge adds the configuration and the list, or what of it is told.
+// encodeKnowledge adds the configuration and the list, or an excerpt of it.
 func (g *Gossip) encodeKnowledge(reply *gossippb.KnowledgeReply, k watch.Knowledge) (err error) {
 	if k.Config != nil {
 		if reply.Configuration, err = packOnce(&g.config, k.Version, k.Config); err != nil {
--- a/internal/gossip/teach_test.go
+++ b/internal/gossip/teach_test.go
@@ -10,36 +10,36 @@
 	"github.com/croftyard/croftyard/internal/watch"
 )
 
-func TestWhatIsPassedOnLeavesInTime(t *testing.T) {
-	var taught teaching
+func TestKnowledgeRepliesFitLinkRate(t *testing.T) {
+	var budget sendBudget
 	now := time.Now()
 	const list = 57 << 10
 	answered := 0
 	for range 99 {
-		if taught.take(list, now) {
+		if budget.allow(list, now) {
 			answered++
 		}
 	}
 	assert.Equal(t, 6, answered, "at once")
-	assert.Less(t, float64(answered*list)/teachRate, learnTimeout.Seconds()/2)
+	assert.Less(t, float64(answered*list)/knowledgeRate, knowledgeTimeout.Seconds()/2)
 	for ms := range 1000 {
-		if taught.take(list, now.Add(time.Duration(ms)*time.Millisecond)) {
+		if budget.allow(list, now.Add(time.Duration(ms)*time.Millisecond)) {
 			answered++
 		}
 	}
-	assert.InDelta(t, teachRate/list+6, answered, 1, "then as many as the link carries")
-	assert.True(t, taught.take(64<<20, now.Add(time.Minute)), "what is larger than all that goes alone")
+	assert.InDelta(t, knowledgeRate/list+6, answered, 1, "then as many as the link can carry")
+	assert.True(t, budget.allow(64<<20, now.Add(time.Minute)), "a reply above the whole budget is sent alone")
 }
 
-// Who is not answered goes on with what it has, and learns later.
-func TestWhoIsNotAnsweredLearnsLater(t *testing.T) {
-	teacher, learner := newRestingRouter(t, &source{}), newRestingRouter(t, &source{})
+// A router whose request is refused keeps what it has, and learns later.
+func TestRefusedRouterLearnsLater(t *testing.T) {
+	teacher, learner := newIdleRouter(t, &source{}), newIdleRouter(t, &source{})
 	teacher.watcher.ApplySnapshot(watch.Snapshot{Config: config(1), Replicas: replicas("a")}, time.Now())
-	require.True(t, teacher.gossip.teaching.take(1<<30, time.Now()))
-	learner.gossip.learn(t.Context(), teacher.gossip.Address())
-	assert.False(t, learner.watcher.Initialized(), "a refusal says nothing")
+	require.True(t, teacher.gossip.budget.allow(1<<30, time.Now()))
+	learner.gossip.fetchKnowledge(t.Context(), teacher.gossip.Address())
+	assert.False(t, learner.watcher.Initialized(), "a refusal contains no knowledge")
 	assert.EqualValues(t, 1, teacher.gossip.RefusedRequests())
-	teacher.gossip.teaching.until = time.Time{}
-	learner.gossip.learn(t.Context(), teacher.gossip.Address())
+	teacher.gossip.budget.drained = time.Time{}
+	learner.gossip.fetchKnowledge(t.Context(), teacher.gossip.Address())
 	assert.True(t, learner.watcher.Initialized())
 }
--- a/internal/gossip/tell.go
+++ b/internal/gossip/tell.go
@@ -12,17 +12,17 @@
 	"github.com/croftyard/croftyard/pkg/membership"
 )
 
-// aliveRounds is how often the members of a line that live are told, in rounds of a
-// large fleet: each is so heard of some times before it would be forgotten.
-const aliveRounds = 2
-
-// tell tells the partners in a large fleet, each in a datagram, and asks some of them.
-// The datagrams that ask nothing are all alike, and encoded once.
-func (g *Gossip) tell(partners membership.Partners, d digests, hello bool, now time.Time) {
-	g.dropQuestions(now)
+// aliveInterval is the number of rounds of a large fleet between two reports of the live
+// members of a line. Each member is reported several times before it would be forgotten.
+const aliveInterval = 2
+
+// sendRound sends each partner of a large fleet a datagram, and queries some of them. The
+// datagrams without a query are identical, and encoded once.
+func (g *Gossip) sendRound(partners membership.Partners, d digests, hello bool, now time.Time) {
+	g.expireQueries(now)
 	all := len(partners.Line) + len(partners.RelayTo)
-	first, asks := g.turn(all)
-	packets := packets{g: g}
+	first, asks := g.nextQueried(all)
+	packets := packetCache{g: g}
 	for i := range all {
 		address, digest := "", d.own
 		if i < len(partners.Line) {
@@ -30,21 +30,22 @@
 		} else {
 			address, digest = partners.RelayTo[i-len(partners.Line)], d.line
 		}
-		unmet := g.unmet(address)
+		unmet := g.centreUnknown(address)
 		if unmet || (i-first+all)%all < asks {
-			digest = g.asking(address, digest, d, unmet || hello, now)
-			if g.speaksPlain(address) {
-				digest = g.inPlain(digest)
+			digest = g.withQuery(address, digest, d, unmet || hello, now)
+			if g.usesPlainForm(address) {
+				digest = g.inPlainForm(digest)
 			}
 			g.send(address, encodeDigest(digest))
 			continue
 		}
-		g.send(address, packets.of(digest, address))
+		g.send(address, packets.get(digest, address))
 	}
 }
 
-// packets are digests that are told to many, each encoded once in each form.
-type packets struct {
+// packetCache holds digests that are sent to many routers, each encoded once in each
+// form.
+type packetCache struct {
 	g       *Gossip
 	encoded map[packetKey][]byte
 }
@@ -54,9 +55,9 @@
 	plain  bool
 }
 
-// of returns a digest as a router understands it.
-func (p *packets) of(digest *gossippb.Digest, address string) []byte {
-	key := packetKey{digest, p.g.speaksPlain(address)}
+// get returns a digest, encoded in the form that a router uses.
+func (p *packetCache) get(digest *gossippb.Digest, address string) []byte {
+	key := packetKey{digest, p.g.usesPlainForm(address)}
 	packet, done := p.encoded[key]
 	if done {
 		return packet
@@ -65,26 +66,26 @@
 		p.encoded = make(map[packetKey][]byte)
 	}
 	if key.plain {
-		digest = p.g.inPlain(digest)
+		digest = p.g.inPlainForm(digest)
 	}
 	packet = encodeDigest(digest)
 	p.encoded[key] = packet
 	return packet
 }
 
-// asking returns a digest that asks for an answer, with a hello or without.
-func (g *Gossip) asking(address string, digest *gossippb.Digest, d digests, hello bool, now time.Time) *gossippb.Digest {
+// withQuery returns a digest that requests an answer, with or without a hello.
+func (g *Gossip) withQuery(address string, digest *gossippb.Digest, d digests, hello bool, now time.Time) *gossippb.Digest {
 	if hello {
-		digest = d.with(digest)
+		digest = d.withHello(digest)
 	} else {
 		digest = proto.CloneOf(digest)
 	}
-	digest.Ask = g.noteQuestion(question{address: address, at: now})
+	digest.Ask = g.addQuery(query{address: address, at: now})
 	return digest
 }
 
-// unmet tells whether a member has not said which data centre it is of.
-func (g *Gossip) unmet(address string) bool {
+// centreUnknown reports whether a member has not reported its data centre.
+func (g *Gossip) centreUnknown(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.centres[address] == ""
@@ -92,8 +93,8 @@
 
 func encodeDigest(d *gossippb.Digest) []byte { return encodeDatagram(&gossippb.Datagram{Digest: d}) }
 
-// encodeDatagram returns nil for what can't be encoded, a text that is no UTF-8: names
-// and addresses are checked when the settings are read.
+// encodeDatagram returns nil if a text is not valid UTF-8. Names and addresses are
+// checked when the settings are read.
 func encodeDatagram(d *gossippb.Datagram) []byte {
 	packet, err := proto.Marshal(d)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return packet
 }
 
-// send sends a datagram to a member, whose address is one it listens at.
+// send sends a datagram to a member at the address on which it listens.
 func (g *Gossip) send(address string, packet []byte) {
 	to, err := netip.ParseAddrPort(address)
 	if err == nil && len(packet) <= peer.MaxDatagram {
@@ -116,8 +117,8 @@
 // UnsentDatagrams returns how many datagrams could not be sent.
 func (g *Gossip) UnsentDatagrams() uint64 { return g.unsent.Load() }
 
-// takeDatagram takes what another router sent.
-func (g *Gossip) takeDatagram(from netip.AddrPort, packet []byte) {
+// handleDatagram handles a datagram from another router.
+func (g *Gossip) handleDatagram(from netip.AddrPort, packet []byte) {
 	var d gossippb.Datagram
 	if proto.Unmarshal(packet, &d) != nil {
 		return
@@ -125,18 +126,19 @@
 	now := steady.Now()
 	switch {
 	case d.Digest != nil:
-		// A datagram that names another sender would have this router send to whom it names.
+		// Trusting a sender named in the datagram would let it direct this router's
+		// datagrams elsewhere.
 		d.Digest.Sender = from.String()
-		g.takeTold(d.Digest, now)
+		g.handleDigest(d.Digest, now)
 	case d.Answer != nil:
-		g.takeAnswer(d.Answer, now)
+		g.handleAnswer(d.Answer, now)
 	}
 }
 
-// takeTold takes a digest that came in a datagram, answers it if it asks, and asks
-// back if its sender seems to know more.
-func (g *Gossip) takeTold(d *gossippb.Digest, now time.Time) {
-	g.take(d, now)
+// handleDigest applies a digest from a datagram, answers its query if it has one, and
+// queries the sender if that seems to know more.
+func (g *Gossip) handleDigest(d *gossippb.Digest, now time.Time) {
+	g.applyDigest(d, now)
 	if d.Ask != 0 {
 		answer := g.answer(d, now)
 		answer.Ask = d.Ask
@@ -145,8 +147,8 @@
 	if d.Stopping {
 		return
 	}
-	unmet := g.unmet(d.Sender) && g.mayGreet(d.Sender, now)
-	if (unmet || g.seemsNewer(d, now)) && g.mayAsk(d.Sender, now) {
-		g.ask(d.Sender, unmet, now)
+	unmet := g.centreUnknown(d.Sender) && g.maySayHello(d.Sender, now)
+	if (unmet || g.seemsNewer(d, now)) && g.mayQuery(d.Sender, now) {
+		g.sendQuery(d.Sender, unmet, now)
 	}
 }
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -13,43 +13,43 @@
 
 // digests are the messages of one round.
 type digests struct {
-	// own tells what this router runs, line what its line runs. line is nil in a
-	// small fleet.
+	// own has the counts of this router, line those of its line. line is nil in a small
+	// fleet.
 	own, line *gossippb.Digest
 	// hello is what a hello adds to either.
 	hello *gossippb.Digest
 }
 
-// digests returns what is told in this round.
+// digests returns the messages of this round.
 func (g *Gossip) digests(now time.Time, large bool) digests {
-	told := g.balancer.TakePeerUpdate(now)
+	update := g.balancer.TakePeerUpdate(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	rumors := &gossippb.Digest{Stopping: g.stopped}
 	if !large {
 		rumors.Sender = g.server.Address()
 	}
-	g.tellsKnown(rumors, now)
+	g.addOwnDigest(rumors, now)
 	encodeRows(rumors, g.members.TakeNew(maxRows, now))
-	encodeRumors(rumors, told.Rumors, now)
+	encodeRumors(rumors, update.Rumors, now)
 	if !large {
-		// In a large fleet each mark comes over many ways at once, and what is told again
+		// In a large fleet each mark arrives over many paths at once, and a repetition
 		// would go to some twenty partners of each router.
 		rumors.Marks = encodeMarks(g.poison.Recent(now), now)
 	}
 	d := digests{own: proto.CloneOf(rumors), hello: g.hello(now)}
-	encodeCounts(d.own, told.Running)
+	encodeCounts(d.own, update.Running)
 	if large {
 		d.line = rumors
 		line, lines := g.members.Line()
 		d.line.Line, d.line.Lines = uint32(line), uint32(lines)
-		told := g.balancer.SumLine(now)
-		encodeCounts(d.line, told.Counts)
-		for _, single := range told.Singles {
+		sum := g.balancer.SumLine(now)
+		encodeCounts(d.line, sum.Counts)
+		for _, single := range sum.Singles {
 			d.line.Singles = binary.LittleEndian.AppendUint16(d.line.Singles, single)
 		}
 	}
-	if large && g.round/largeRounds%aliveRounds == 0 {
+	if large && g.round/largeRoundFactor%aliveInterval == 0 {
 		d.line.Alive = g.members.AliveHashes(now)
 	}
 	return d
@@ -59,12 +59,12 @@
 func (g *Gossip) hello(now time.Time) *gossippb.Digest {
 	d := &gossippb.Digest{Hello: true, DataCentre: g.options.DataCentre}
 	d.Member, d.HeardMs = g.rows(now)
-	d.Marks = encodeMarks(g.poison.Sample(sampleRequests), now)
+	d.Marks = encodeMarks(g.poison.Sample(maxHelloMarks), now)
 	return d
 }
 
-// with returns a digest with a hello.
-func (d digests) with(digest *gossippb.Digest) *gossippb.Digest {
+// withHello returns a copy of a digest with a hello.
+func (d digests) withHello(digest *gossippb.Digest) *gossippb.Digest {
 	both := proto.CloneOf(digest)
 	proto.Merge(both, d.hello)
 	return both
@@ -110,8 +110,8 @@
 	return parts, replicas
 }
 
-// rows returns members in the wire form, another part of them in each hello.
-// g.mu is held.
+// rows returns members in wire form, a different part of them in each hello. g.mu is
+// held.
 func (g *Gossip) rows(now time.Time) (addresses []string, ages []uint32) {
 	g.hellos++
 	var d gossippb.Digest
@@ -129,9 +129,9 @@
 
 func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// decode reads a digest. Columns of unequal length are read as far as they all
-// go, so that a damaged message cannot harm.
-func decode(d *gossippb.Digest, now time.Time) balance.PeerUpdate {
+// decodeDigest decodes a digest. It reads columns of unequal length up to the shortest,
+// so that a damaged message can do no harm.
+func decodeDigest(d *gossippb.Digest, now time.Time) balance.PeerUpdate {
 	var t balance.PeerUpdate
 	for i := range min(len(d.Replica), len(d.Running)) {
 		t.Running = append(t.Running, balance.ReplicaCount{Replica: d.Replica[i], Running: int(d.Running[i])})
@@ -146,7 +146,7 @@
 	return t
 }
 
-// decodeSingles reads pairs of bytes; an odd one at the end is left out.
+// decodeSingles decodes pairs of bytes, and ignores an odd byte at the end.
 func decodeSingles(b []byte) []uint16 {
 	var singles []uint16
 	for ; len(b) >= 2; b = b[2:] {
