--- a/pkg/poison/example_test.go
+++ b/pkg/poison/example_test.go
@@ -7,7 +7,8 @@
 	"github.com/croftyard/croftyard/pkg/poison"
 )
 
-// Two routers see three crashes between them; then no router sends the request.
+// Two routers see three crashes between them and exchange their marks; then neither sends
+// the request.
 func Example() {
 	limits := poison.Limits{Crashes: 3, Hold: 15 * time.Second}
 	one, other := poison.New(poison.Options{Limits: limits}), poison.New(poison.Options{Limits: limits})
--- a/pkg/poison/poison.go
+++ b/pkg/poison/poison.go
@@ -1,23 +1,24 @@
-// Package poison recognises requests that crash the replicas which run them, so that the
-// fleet stops sending them while all others are served.
+// Package poison detects requests that crash the replicas which run them, so that the
+// fleet stops sending them and keeps serving all others.
 //
-//	Of        names a request by what it asks for, the same for each of its tries
-//	Crashed   a replica crashed while it ran a request: one mark against it, and one
-//	          against each other request that ran there
-//	Served    a replica answered it whole: all marks against it go
-//	Ask       may it be sent? Held after marks of so many replicas in a row
-//	Begin     it is sent though suspected, at most once at a time
-//	Untold, Recent, Sample, Merge
-//	          what routers tell each other, so that marks of all of them count
+//	NewDigest      identifies a request by its content, the same for every attempt
+//	RecordCrash    a replica crashed while it ran a request: one mark against it, and
+//	               one against each other request that ran there
+//	RecordSuccess  a replica answered in full: clears the request's marks
+//	Check          tells whether a request may be sent or is held
+//	BeginRun       starts a run of a suspected request, at most one at a time
+//	TakePending, Recent, Sample, Merge
+//	               exchange marks between routers, so that those of all routers count
 //
-// Marks name a request, a replica and a time, and are only ever added or taken away by a
-// later whole answer, so routers agree in whatever order they hear. A request that is
-// sound gathers marks by chance, beside one that is not; it sheds them with the next
-// answer, which the other one never gets. One that was answered lately, as a look-up that
-// everybody sends, is held after provenTimes as many crashes: it runs beside each of those
-// that crash replicas, and would be held with them.
+// A mark names a request, a replica and a time. Marks are only added, or removed by a
+// later full answer, so routers converge whatever the order of delivery. A harmless
+// request collects marks by chance when it runs beside a harmful one; its next answer
+// clears them, and the harmful one never gets an answer. A request that was answered
+// recently, such as a look-up that every client sends, is held only after answeredFactor
+// times as many crashes: it runs beside every request that crashes a replica and would
+// otherwise be held with them.
 //
-// The package does no I/O; time comes from the caller and is steady.
+// The package does no I/O. The caller passes the time, from a monotonic clock.
 package poison
 
 import (
@@ -28,112 +29,113 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Mark says that a replica crashed while it ran a request, or that one answered it.
+// Mark records that a replica crashed while it ran a request, or answered it in full.
 type Mark struct {
 	Digest Digest
-	// Replica is the hash of the replica's id, 0 in a mark of an answer.
+	// Replica is the hash of the replica's id, 0 in the mark of an answer.
 	Replica uint32
-	// At is when the replica crashed, or when it had answered, by the holder's clock.
+	// At is when the replica crashed or finished its answer, by the local clock.
 	At time.Time
-	// Served: the replica answered whole.
+	// Served tells that the replica answered in full.
 	Served bool
 }
 
-// Limits can change while the memory is used.
+// Limits holds the settings of a Tracker. They can change while it is in use.
 type Limits struct {
 	// Crashes is how many replicas in a row a request may crash before it is held;
 	// 0: requests are never held.
 	Crashes int
-	// Hold is for how long it is then not sent. One try is made after it; each further
-	// crash makes it holdGrowth times as long.
+	// Hold is how long a held request is not sent. One trial follows; each further crash
+	// multiplies the time by holdGrowth.
 	Hold time.Duration
 }
 
-// Options of a memory. Its functions are called without a lock and may be nil.
+// Options configures a Tracker. The callbacks run without a lock and may be nil.
 type Options struct {
 	Limits Limits
-	// OnHeld is told when a request is held, Cleared when one that was held ended well.
+	// OnHeld is called when a request becomes held, OnCleared when a held one was answered.
 	OnHeld    func(d Digest, crashes int, hold time.Duration)
 	OnCleared func(d Digest)
 }
 
 const (
-	// maxSuspects is how many requests with marks are remembered, the latest: at ten a
-	// crash those of the last four hundred crashes.
+	// maxSuspects bounds the requests with marks that are kept, the latest first: at ten
+	// requests a crash, those of the last four hundred crashes.
 	maxSuspects = 4096
-	// maxHeld is the same for those that are held, which the others are not to push out:
-	// each cost three replicas.
+	// maxHeld bounds the held requests. They are kept apart, so that suspects don't evict
+	// them: each held request cost three replicas.
 	maxHeld = 1024
-	// life is how long marks hold: a request that comes once an hour is known in time.
-	life = 24 * time.Hour
-	// maxTrials is how often a held request is tried again in life: as often as the users
-	// allow it to reach replicas. By the default of two minutes that is after 2, 12 and
-	// 72 minutes: each costs those beside it a replica if the request is what it seems.
+	// markLifetime is how long marks count, so that a request which comes only once an hour
+	// is still detected.
+	markLifetime = 24 * time.Hour
+	// maxTrials bounds the trials of a held request within markLifetime, as often as users
+	// accept that it reaches replicas. With the default hold of two minutes the trials
+	// come after 2, 12 and 72 minutes. A trial of a harmful request crashes a replica and
+	// with it the other requests that run there.
 	maxTrials  = 3
 	holdGrowth = 6
-	// provenTimes is how many times as many crashes hold a request that was answered whole
-	// in provenLife, and maxProven how many of them are remembered.
-	provenTimes = 4
-	provenLife  = 10 * time.Minute
-	maxProven   = 8192
-	// maxCrashes bounds what is kept of one request, where none is ever held.
+	// A request that was answered in full within answeredWindow is held after
+	// answeredFactor times as many crashes; maxAnswered bounds how many are remembered.
+	answeredFactor = 4
+	answeredWindow = 10 * time.Minute
+	maxAnswered    = 8192
+	// maxCrashes bounds the crashes kept of one request where holding is turned off.
 	maxCrashes = 64
-	// oneCrash is within what time marks of one replica are of one crash, as several
-	// routers saw it and as it comes over ways of different length; a replica that starts
-	// again within it is told from before by its start. oneAnswer is the same for answers.
-	oneCrash  = 10 * time.Second
-	oneAnswer = 5 * time.Second
+	// Marks of one replica within crashWindow are of the same crash: several routers saw
+	// it, and their marks arrive over paths of different delay. A replica that restarts
+	// within the window differs by its start. answerWindow is the same for answers.
+	crashWindow  = 10 * time.Second
+	answerWindow = 5 * time.Second
 )
 
-// Tracker is what a router knows of requests that crash replicas. It is safe for
-// concurrent use.
+// Tracker records requests that crash replicas. It is safe for concurrent use.
 type Tracker struct {
 	options Options
-	news    chan struct{}
+	updates chan struct{}
 
 	mu       sync.Mutex
 	limits   Limits
 	suspects *simplelru.LRU[Digest, *suspect]
 	held     *simplelru.LRU[Digest, *suspect]
-	// proven is when requests were last answered whole by way of this router.
-	proven *simplelru.LRU[Digest, time.Time]
-	untold []Mark
-	recent []learned
-	next   int
+	// answered is when requests were last answered in full through this router.
+	answered     *simplelru.LRU[Digest, time.Time]
+	pending      []Mark
+	recent       []learnedMark
+	sampleOffset int
 }
 
-// suspect is a request that marks were made against.
+// suspect is a request with marks.
 type suspect struct {
 	crashes []crash
-	// past are crashes that an answer took back: they may be told of again.
-	past []crash
-	// served is when it was last answered whole.
-	served time.Time
-	// trial is when it was last tried though held, trials how often.
-	trial  time.Time
-	trials int
-	// running: a run that is to be the only one from this router is under way.
+	// cleared are crashes that an answer cleared; their marks may arrive again.
+	cleared []crash
+	// answeredAt is when the request was last answered in full.
+	answeredAt time.Time
+	// lastTrial is when the request was last tried while held, trials how often it was.
+	lastTrial time.Time
+	trials    int
+	// running tells that an exclusive run from this router is in progress.
 	running bool
 }
 
-// crash is one replica's.
+// crash is the crash of one replica.
 type crash struct {
 	replica uint32
 	at      time.Time
 }
 
-// New returns an empty memory.
+// New returns an empty Tracker.
 func New(o Options) *Tracker {
-	m := &Tracker{options: o, limits: o.Limits, news: make(chan struct{}, 1)}
-	m.suspects, m.held = newStore[*suspect](maxSuspects), newStore[*suspect](maxHeld)
-	m.proven = newStore[time.Time](maxProven)
+	m := &Tracker{options: o, limits: o.Limits, updates: make(chan struct{}, 1)}
+	m.suspects, m.held = newLRU[*suspect](maxSuspects), newLRU[*suspect](maxHeld)
+	m.answered = newLRU[time.Time](maxAnswered)
 	return m
 }
 
-func newStore[V any](size int) *simplelru.LRU[Digest, V] {
+func newLRU[V any](size int) *simplelru.LRU[Digest, V] {
 	store, err := simplelru.NewLRU[Digest, V](size, nil)
 	if err != nil {
-		// The sizes are constants above zero.
+		// NewLRU fails only for a size of zero or less, and the sizes are positive constants.
 		panic(err)
 	}
 	return store
@@ -146,8 +148,8 @@
 	m.limits = l
 }
 
-// HasMarks tells whether there are marks at all: if not, no request needs a digest before it
-// is sent.
+// HasMarks tells whether there are any marks. Without marks, no request needs a digest
+// before it is sent.
 func (m *Tracker) HasMarks() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -161,24 +163,24 @@
 	return m.suspects.Len() + m.held.Len(), m.held.Len()
 }
 
-// RecordCrash notes that a replica crashed at a time while it ran a request.
+// RecordCrash records that a replica crashed at a time while it ran a request.
 func (m *Tracker) RecordCrash(d Digest, replica uint32, at, now time.Time) {
-	m.learn([]Mark{{Digest: d, Replica: replica, At: at}}, true, now)
+	m.applyMarks([]Mark{{Digest: d, Replica: replica, At: at}}, true, now)
 }
 
-// RecordSuccess notes that a replica answered a request whole.
+// RecordSuccess records that a replica answered a request in full.
 func (m *Tracker) RecordSuccess(d Digest, now time.Time) {
 	m.mu.Lock()
-	m.proven.Add(d, now)
+	m.answered.Add(d, now)
 	s := m.find(d)
 	marked := s != nil && len(s.crashes) > 0
 	m.mu.Unlock()
 	if marked {
-		m.learn([]Mark{{Digest: d, At: now, Served: true}}, true, now)
+		m.applyMarks([]Mark{{Digest: d, At: now, Served: true}}, true, now)
 	}
 }
 
-// find returns what is known of a request, or nil. m.mu is held.
+// find returns the record of a request, or nil. The caller holds m.mu.
 func (m *Tracker) find(d Digest) *suspect {
 	if s, found := m.held.Get(d); found {
 		return s
@@ -187,55 +189,55 @@
 	return s
 }
 
-// learn takes marks, those that are new to be told on if asked for.
-func (m *Tracker) learn(marks []Mark, tell bool, now time.Time) {
-	var told []func()
-	fresh := false
+// applyMarks applies marks and, if forward is set, queues the new ones for other routers.
+func (m *Tracker) applyMarks(marks []Mark, forward bool, now time.Time) {
+	var callbacks []func()
+	updated := false
 	m.mu.Lock()
 	for _, mark := range marks {
-		if !m.take(mark, now) {
+		if !m.apply(mark, now) {
 			continue
 		}
-		m.noteRecent(mark, now)
-		if tell {
-			m.untold = append(m.untold, mark)
-			fresh = true
+		m.addRecent(mark, now)
+		if forward {
+			m.pending = append(m.pending, mark)
+			updated = true
 		}
-		if m.vouch(mark, now) {
-			fresh = true
+		if m.shareAnswer(mark, now) {
+			updated = true
 		}
-		if tellOperator := m.settle(mark.Digest, now); tellOperator != nil {
-			told = append(told, tellOperator)
+		if callback := m.updateHeld(mark.Digest, now); callback != nil {
+			callbacks = append(callbacks, callback)
 		}
 	}
-	if over := len(m.untold) - maxTold; over > 0 {
-		m.untold = m.untold[over:]
+	if over := len(m.pending) - maxPending; over > 0 {
+		m.pending = m.pending[over:]
 	}
 	m.mu.Unlock()
-	if fresh {
-		m.wake()
+	if updated {
+		m.signalUpdate()
 	}
-	for _, tell := range told {
-		tell()
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-// vouch tells the others of an answer from before a mark of a crash, if this router saw
-// one. m.mu is held.
-func (m *Tracker) vouch(mark Mark, now time.Time) bool {
-	at, proven := m.proven.Peek(mark.Digest)
-	if mark.Served || !proven || now.Sub(at) > provenLife || !m.find(mark.Digest).serve(at) {
+// shareAnswer queues this router's own recent answer for the other routers when it clears
+// marks of the same request. The caller holds m.mu.
+func (m *Tracker) shareAnswer(mark Mark, now time.Time) bool {
+	at, proven := m.answered.Peek(mark.Digest)
+	if mark.Served || !proven || now.Sub(at) > answeredWindow || !m.find(mark.Digest).addAnswer(at) {
 		return false
 	}
 	answer := Mark{Digest: mark.Digest, At: at, Served: true}
-	m.noteRecent(answer, now)
-	m.untold = append(m.untold, answer)
+	m.addRecent(answer, now)
+	m.pending = append(m.pending, answer)
 	return true
 }
 
-// take takes one mark and tells whether it was new. m.mu is held.
-func (m *Tracker) take(mark Mark, now time.Time) bool {
-	if now.Sub(mark.At) > life {
+// apply applies one mark and tells whether it was new. The caller holds m.mu.
+func (m *Tracker) apply(mark Mark, now time.Time) bool {
+	if now.Sub(mark.At) > markLifetime {
 		return false
 	}
 	s := m.find(mark.Digest)
@@ -247,39 +249,39 @@
 		m.suspects.Add(mark.Digest, s)
 	}
 	if mark.Served {
-		return s.serve(mark.At)
+		return s.addAnswer(mark.At)
 	}
-	return s.add(crash{mark.Replica, mark.At})
+	return s.addCrash(crash{mark.Replica, mark.At})
 }
 
-// serve takes an answer and tells whether it was news.
-func (s *suspect) serve(at time.Time) bool {
-	var left, cleared []crash
+// addAnswer records an answer and tells whether it was new.
+func (s *suspect) addAnswer(at time.Time) bool {
+	var remaining, cleared []crash
 	for _, c := range s.crashes {
 		if c.at.After(at) {
-			left = append(left, c)
+			remaining = append(remaining, c)
 		} else {
 			cleared = append(cleared, c)
 		}
 	}
-	// It comes over several ways, each a little later than the last: what clears nothing is
-	// the answer that is known.
-	if len(cleared) == 0 && at.Sub(s.served) < oneAnswer {
+	// The same answer arrives over several paths, each time slightly later: one that clears
+	// no crash within answerWindow is already known.
+	if len(cleared) == 0 && at.Sub(s.answeredAt) < answerWindow {
 		return false
 	}
-	s.crashes, s.past = left, append(s.past, cleared...)
-	s.past = s.past[max(len(s.past)-maxCrashes, 0):]
-	s.served, s.trials, s.trial = at, 0, time.Time{}
+	s.crashes, s.cleared = remaining, append(s.cleared, cleared...)
+	s.cleared = s.cleared[max(len(s.cleared)-maxCrashes, 0):]
+	s.answeredAt, s.trials, s.lastTrial = at, 0, time.Time{}
 	return true
 }
 
-// add takes a crash and tells whether it is another one.
-func (s *suspect) add(c crash) bool {
-	if !c.at.After(s.served) {
+// addCrash records a crash and tells whether it was new.
+func (s *suspect) addCrash(c crash) bool {
+	if !c.at.After(s.answeredAt) {
 		return false
 	}
-	for _, known := range slices.Concat(s.crashes, s.past) {
-		if known.replica == c.replica && known.at.Sub(c.at).Abs() < oneCrash {
+	for _, known := range slices.Concat(s.crashes, s.cleared) {
+		if known.replica == c.replica && known.at.Sub(c.at).Abs() < crashWindow {
 			return false
 		}
 	}
@@ -290,24 +292,24 @@
 	return true
 }
 
-// limit is how many crashes in a row hold a request. m.mu is held.
-func (m *Tracker) limit(s *suspect, now time.Time) int {
-	if !s.served.IsZero() && now.Sub(s.served) <= provenLife {
-		return provenTimes * m.limits.Crashes
+// crashLimit returns how many crashes in a row hold a request. The caller holds m.mu.
+func (m *Tracker) crashLimit(s *suspect, now time.Time) int {
+	if !s.answeredAt.IsZero() && now.Sub(s.answeredAt) <= answeredWindow {
+		return answeredFactor * m.limits.Crashes
 	}
 	return m.limits.Crashes
 }
 
-// settle puts a request among those that are held, or takes it from them, and returns who
-// is to be told of it, or nil. m.mu is held.
-func (m *Tracker) settle(d Digest, now time.Time) func() {
+// updateHeld moves a request into or out of the held ones and returns the callback to run
+// without the lock, or nil. The caller holds m.mu.
+func (m *Tracker) updateHeld(d Digest, now time.Time) func() {
 	s := m.find(d)
-	was := m.held.Contains(d)
-	is := m.limits.Crashes > 0 && len(s.crashes) >= m.limit(s, now)
-	if was == is {
+	wasHeld := m.held.Contains(d)
+	isHeld := m.limits.Crashes > 0 && len(s.crashes) >= m.crashLimit(s, now)
+	if wasHeld == isHeld {
 		return nil
 	}
-	if is {
+	if isHeld {
 		m.suspects.Remove(d)
 		m.held.Add(d, s)
 		crashes, hold := len(s.crashes), m.heldUntil(s, now).Sub(now)
--- a/pkg/poison/poison_test.go
+++ b/pkg/poison/poison_test.go
@@ -39,23 +39,23 @@
 		at    float64
 		want  Verdict
 	}{
-		"nothing known":                          {want: Verdict{}},
-		"one crash":                              {[]step{{1, 0}}, 1, Verdict{Allowed, 1, 0}},
-		"two":                                    {[]step{{1, 0}, {2, 5}}, 6, Verdict{Suspected, 2, 0}},
-		"three":                                  {[]step{{1, 0}, {2, 5}, {3, 10}}, 11, Verdict{Held, 3, 599 * time.Second}},
-		"three, long ago each":                   {[]step{{1, 0}, {2, 3600}, {3, 7200}}, 7201, Verdict{Held, 3, 599 * time.Second}},
-		"three are of one, as three routers saw": {[]step{{1, 0}, {1, 0.1}, {1, 1}}, 2, Verdict{Allowed, 1, 0}},
-		"one replica crashes each time it starts":                   {[]step{{1, 0}, {1, 11}, {1, 22}}, 23, Verdict{Held, 3, 599 * time.Second}},
-		"answered whole in between":                                 {[]step{{1, 0}, {2, 5}, {0, 6}, {3, 10}}, 11, Verdict{Allowed, 1, 0}},
-		"answered whole after it was held":                          {[]step{{1, 0}, {2, 5}, {3, 10}, {0, 20}}, 21, Verdict{}},
-		"a mark that comes after an answer is of a crash before it": {[]step{{1, 0}, {0, 6}, {2, 5}}, 7, Verdict{}},
-		"the hold is over":                                          {[]step{{1, 0}, {2, 0}, {3, 0}}, 601, Verdict{Trial, 3, -time.Second}},
-		"each further crash makes it longer":                        {[]step{{1, 0}, {2, 0}, {3, 0}, {4, 600}}, 700, Verdict{Held, 4, 3500 * time.Second}},
-		"it was answered before":                                    {[]step{{0, 0}, {1, 1}, {2, 2}, {3, 3}, {4, 4}}, 5, Verdict{Allowed, 4, 0}},
-		"it was answered before, and never since":                   {[]step{{0, 0}, {1, 1}, {2, 2}, {3, 3}, {4, 4}, {5, 5}, {6, 6}, {7, 7}, {8, 8}, {9, 9}, {10, 10}, {11, 11}, {12, 12}}, 13, Verdict{Held, 12, 599 * time.Second}},
-		"it was answered long before":                               {[]step{{0, 0}, {1, 1000}, {2, 1000}, {3, 1000}}, 1001, Verdict{Held, 3, 599 * time.Second}},
-		"after three further ones, for a day":                       {[]step{{1, 0}, {2, 0}, {3, 0}, {4, 1}, {5, 2}, {6, 3}}, 3, Verdict{Held, 6, 24 * time.Hour}},
-		"a day later nothing is left":                               {[]step{{1, 0}, {2, 0}, {3, 0}}, 25 * 3600, Verdict{}},
+		"nothing known":                              {want: Verdict{}},
+		"one crash":                                  {[]step{{1, 0}}, 1, Verdict{Allowed, 1, 0}},
+		"two crashes":                                {[]step{{1, 0}, {2, 5}}, 6, Verdict{Suspected, 2, 0}},
+		"three crashes":                              {[]step{{1, 0}, {2, 5}, {3, 10}}, 11, Verdict{Held, 3, 599 * time.Second}},
+		"three crashes an hour apart":                {[]step{{1, 0}, {2, 3600}, {3, 7200}}, 7201, Verdict{Held, 3, 599 * time.Second}},
+		"one crash seen by three routers":            {[]step{{1, 0}, {1, 0.1}, {1, 1}}, 2, Verdict{Allowed, 1, 0}},
+		"one replica crashes each time it starts":    {[]step{{1, 0}, {1, 11}, {1, 22}}, 23, Verdict{Held, 3, 599 * time.Second}},
+		"answered in between":                        {[]step{{1, 0}, {2, 5}, {0, 6}, {3, 10}}, 11, Verdict{Allowed, 1, 0}},
+		"answered after it was held":                 {[]step{{1, 0}, {2, 5}, {3, 10}, {0, 20}}, 21, Verdict{}},
+		"a late mark of a crash before the answer":   {[]step{{1, 0}, {0, 6}, {2, 5}}, 7, Verdict{}},
+		"the hold is over":                           {[]step{{1, 0}, {2, 0}, {3, 0}}, 601, Verdict{Trial, 3, -time.Second}},
+		"each further crash extends the hold":        {[]step{{1, 0}, {2, 0}, {3, 0}, {4, 600}}, 700, Verdict{Held, 4, 3500 * time.Second}},
+		"answered recently":                          {[]step{{0, 0}, {1, 1}, {2, 2}, {3, 3}, {4, 4}}, 5, Verdict{Allowed, 4, 0}},
+		"answered recently, then crashes only":       {[]step{{0, 0}, {1, 1}, {2, 2}, {3, 3}, {4, 4}, {5, 5}, {6, 6}, {7, 7}, {8, 8}, {9, 9}, {10, 10}, {11, 11}, {12, 12}}, 13, Verdict{Held, 12, 599 * time.Second}},
+		"answered long before":                       {[]step{{0, 0}, {1, 1000}, {2, 1000}, {3, 1000}}, 1001, Verdict{Held, 3, 599 * time.Second}},
+		"held for a day after three further crashes": {[]step{{1, 0}, {2, 0}, {3, 0}, {4, 1}, {5, 2}, {6, 3}}, 3, Verdict{Held, 6, 24 * time.Hour}},
+		"marks expire after a day":                   {[]step{{1, 0}, {2, 0}, {3, 0}}, 25 * 3600, Verdict{}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestNothingIsHeldWithoutALimit(t *testing.T) {
+func TestZeroLimitHoldsNothing(t *testing.T) {
 	m := New(Options{})
 	m.play([]step{{1, 0}, {2, 0}, {3, 0}})
 	assert.Equal(t, Verdict{}, m.Check(body, at(1)))
@@ -75,7 +75,7 @@
 	assert.Equal(t, Held, m.Check(body, at(2)).State)
 }
 
-func TestASuspectRunsOnceAtATime(t *testing.T) {
+func TestSuspectRunsOnceAtATime(t *testing.T) {
 	m := New(Options{Limits: limits})
 	m.play([]step{{1, 0}, {2, 5}})
 	assert.True(t, m.BeginRun(body, Suspected, at(6)))
@@ -84,9 +84,9 @@
 	assert.True(t, m.BeginRun(body, Suspected, at(6)))
 }
 
-// A trial whose caller leaves shows nothing, and is not to be followed by one after the
-// other: each comes to a replica.
-func TestATrialIsTheOnlyOneOfItsHold(t *testing.T) {
+// A trial whose caller disconnects has no result. Further trials must still wait for the
+// next hold, since each of them reaches a replica.
+func TestOneTrialPerHold(t *testing.T) {
 	m := New(Options{Limits: limits})
 	m.play([]step{{1, 0}, {2, 0}, {3, 0}})
 	trials := 0
@@ -99,8 +99,8 @@
 	assert.Equal(t, maxTrials, trials)
 }
 
-// Marks come in any order, more than once, on any way.
-func TestRoutersAgreeInWhateverOrderTheyHear(t *testing.T) {
+// Marks arrive in any order, repeatedly and over any path.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	source := New(Options{Limits: limits})
 	var marks []Mark
 	for n := range 6 {
@@ -124,11 +124,11 @@
 			d := NewDigest("acme", "POST", "h", "/", fmt.Append(nil, n))
 			assert.Equal(t, source.Check(d, at(52)).State, other.Check(d, at(52)).State, "seed %d, body %d", seed, n)
 		}
-		assert.Empty(t, other.TakePending(), "nothing is told on in a small fleet")
+		assert.Empty(t, other.TakePending(), "marks are not forwarded in a small fleet")
 	}
 }
 
-func TestWhatIsNewIsToldOnOnce(t *testing.T) {
+func TestNewMarkIsForwardedOnce(t *testing.T) {
 	m := New(Options{Limits: limits})
 	mark := Mark{Digest: body, Replica: 1, At: at(0)}
 	m.Merge([]Mark{mark}, true, at(1))
@@ -138,7 +138,7 @@
 	assert.Empty(t, m.TakePending())
 	select {
 	case <-m.Updates():
-		assert.Fail(t, "no news")
+		assert.Fail(t, "unexpected update")
 	default:
 	}
 	assert.Equal(t, []Mark{mark}, m.Recent(at(2)))
@@ -146,7 +146,7 @@
 	assert.Equal(t, []Mark{mark}, m.Sample(5))
 }
 
-func TestOperatorsAreToldOfAHoldAndItsEnd(t *testing.T) {
+func TestCallbacksOnHoldAndClear(t *testing.T) {
 	var told []string
 	m := New(Options{Limits: limits,
 		OnHeld: func(_ Digest, crashes int, hold time.Duration) {
@@ -158,8 +158,8 @@
 	assert.Equal(t, []string{"held 3 10m0s", "cleared"}, told)
 }
 
-// A flood of marks against others does not bring a held request back.
-func TestMemoryIsBoundedAndKeepsWhatIsHeld(t *testing.T) {
+// Marks of many other requests must not evict a held request.
+func TestTrackerIsBoundedAndKeepsHeldRequests(t *testing.T) {
 	m := New(Options{Limits: limits})
 	m.play([]step{{1, 0}, {2, 0}, {3, 0}})
 	for n := range 3 * maxSuspects {
@@ -169,13 +169,13 @@
 	assert.Equal(t, maxSuspects+1, marked)
 	assert.Equal(t, 1, held)
 	assert.Equal(t, Held, m.Check(body, at(2)).State)
-	assert.LessOrEqual(t, len(m.TakePending()), maxTold)
-	assert.LessOrEqual(t, len(m.Recent(at(1))), maxTold)
-	assert.Equal(t, body, m.Sample(1)[0].Digest, "held requests are told first")
+	assert.LessOrEqual(t, len(m.TakePending()), maxPending)
+	assert.LessOrEqual(t, len(m.Recent(at(1))), maxPending)
+	assert.Equal(t, body, m.Sample(1)[0].Digest, "held requests come first")
 }
 
-// Where nothing is held, one request may crash replicas without end.
-func TestTheCrashesOfARequestAreBounded(t *testing.T) {
+// With holding turned off, one request may crash any number of replicas.
+func TestCrashesOfARequestAreBounded(t *testing.T) {
 	m := New(Options{})
 	for replica := range uint32(1000) {
 		m.RecordCrash(body, replica+1, at(1), at(1))
@@ -184,9 +184,9 @@
 	assert.Equal(t, maxCrashes, m.Check(body, at(2)).Crashes)
 }
 
-// A lookup that everybody sends runs on each replica that crashes for another reason,
+// A look-up that every client sends runs on each replica that crashes for another reason,
 // and is answered in between.
-func TestARequestThatManySendIsNotHeldForCrashesBesideIt(t *testing.T) {
+func TestCommonRequestIsNotHeldForOthersCrashes(t *testing.T) {
 	m := New(Options{Limits: limits})
 	now := 0.0
 	for replica := range uint32(100) {
@@ -198,7 +198,7 @@
 	}
 }
 
-func BenchmarkAskSound(b *testing.B) {
+func BenchmarkCheckAllowed(b *testing.B) {
 	m := New(Options{Limits: limits})
 	m.RecordCrash(NewDigest("other", "", "", "", nil), 1, at(0), at(0))
 	for b.Loop() {
@@ -206,8 +206,8 @@
 	}
 }
 
-// One router served it, another one saw the crashes.
-func TestARouterThatSawItAnsweredVouchesForIt(t *testing.T) {
+// One router saw the request answered, another saw the crashes.
+func TestAnswerSeenByAnotherRouterReleasesRequest(t *testing.T) {
 	saw, other := New(Options{Limits: limits}), New(Options{Limits: limits})
 	saw.RecordSuccess(body, at(0))
 	for replica := range uint32(4) {
@@ -221,10 +221,10 @@
 	assert.Equal(t, Allowed, other.Check(body, at(7)).State)
 }
 
-// What is told on comes back over other ways, each a little later, so that its time by the
-// receiver's clock is a little later too. An answer was taken for a newer one each time, and
-// told on by all without end: gigabytes between the routers of a large fleet in a day of crashes.
-func TestAMarkThatComesBackLateIsNoNews(t *testing.T) {
+// Forwarded marks come back over other paths with a slightly later time by the receiver's
+// clock. When each was taken for a newer answer, all routers forwarded it endlessly:
+// gigabytes between the routers of a large fleet in a day of crashes.
+func TestDelayedDuplicateIsNotForwarded(t *testing.T) {
 	m := New(Options{Limits: limits})
 	crashed, served := Mark{Digest: body, Replica: 1, At: at(0)}, Mark{Digest: body, At: at(1), Served: true}
 	m.Merge([]Mark{crashed, served}, true, at(1))
@@ -236,7 +236,7 @@
 		assert.Empty(t, m.TakePending(), "%s later", after)
 	}
 	m.Merge([]Mark{{Digest: body, Replica: 2, At: at(10)}}, true, at(10))
-	assert.Len(t, m.TakePending(), 1, "another crash is news")
+	assert.Len(t, m.TakePending(), 1, "another crash is new")
 	m.Merge([]Mark{{Digest: body, At: at(10.5), Served: true}}, true, at(11))
-	assert.Len(t, m.TakePending(), 1, "and so is an answer that clears it")
+	assert.Len(t, m.TakePending(), 1, "an answer that clears a crash is new")
 }
--- a/pkg/poison/memory_bench_test.go
+++ b/pkg/poison/tracker_bench_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// BenchmarkMemory is what a full memory takes, in bytes.
+// BenchmarkMemory reports the heap bytes of a full tracker.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		m := New(Options{Limits: limits})
-		for n := range maxProven {
+		for n := range maxAnswered {
 			m.RecordSuccess(NewDigest("served", "", "", "", fmt.Append(nil, n)), at(0))
 		}
 		for n := range maxSuspects {
