--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -1,17 +1,17 @@
-// Package admission decides whether a request is let in, how long it waits and
-// who goes first.
+// Package admission decides whether a request is admitted, how long it queues and
+// which request goes first.
 //
-//	Limits   an organisation's surge limit, split over the routers by demand
-//	Queue    fair queueing by share, priorities within it, deadlines, a bound
-//	Refusal  why a request was not served, and when to come back
-//	Retries  the budget that keeps retries a small part of the traffic
+//	Limits       an organisation's surge limit, split over the routers by demand
+//	Queue        fair queueing by share, with priorities, deadlines and a length limit
+//	Refusal      why a request was not served, and when to retry
+//	RetryBudget  keeps retries a small part of the traffic
 //
 // Work is counted in tokens: the prompt tokens that no cache is known to hold
-// and the output tokens asked for, each output token weighing as outputWeight
+// and the output tokens requested. An output token counts as outputWeight
 // prompt tokens, since the engine computes a prompt in one batch and an answer
 // token by token.
 //
-// The package does no I/O. Time comes from the caller.
+// The package does no I/O. The caller passes the time.
 package admission
 
 import (
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// outputWeight is the work of one output token in prompt tokens.
+// outputWeight is the work of one output token, in prompt tokens.
 const outputWeight = 4
 
 // EstimateWork estimates the work of a request in tokens.
@@ -29,7 +29,7 @@
 	return float64(uncached) + outputWeight*float64(outputTokens)
 }
 
-// Reason tells why a request was refused or broken off. The numbers are sent
+// Reason tells why a request was refused or aborted. The numbers are sent
 // between routers and must not change.
 type Reason uint32
 
@@ -97,10 +97,10 @@
 	Reason Reason
 	// NotRun is true only when no byte of the request can have reached a target.
 	NotRun bool
-	// RetryAfter tells the caller when to come back; 0 means that coming back
-	// is pointless or that the time is not known.
+	// RetryAfter tells the caller when to retry; 0 means that a retry is
+	// pointless or that the time is not known.
 	RetryAfter time.Duration
-	// Detail is one sentence for a person.
+	// Detail is one sentence for a human reader.
 	Detail string
 }
 
@@ -112,7 +112,7 @@
 // Unwrap lets errors.Is find ErrRefused.
 func (r *Refusal) Unwrap() error { return ErrRefused }
 
-// Refuse returns a refusal of a request that was certainly not run.
+// Refuse returns a refusal of a request that certainly did not run.
 func Refuse(reason Reason, after time.Duration, detail string) *Refusal {
 	return &Refusal{Reason: reason, NotRun: true, RetryAfter: after, Detail: detail}
 }
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -20,7 +20,7 @@
 	return &Item[string]{Flow: flow, Share: share, Priority: priority, Work: 100, Deadline: start.Add(time.Hour), Payload: flow}
 }
 
-func any1(*Item[string]) bool { return true }
+func acceptAny(*Item[string]) bool { return true }
 
 func expectPush(t *testing.T, q *Queue[string], i *Item[string]) {
 	t.Helper()
@@ -37,7 +37,7 @@
 	}
 	served := map[string]int{}
 	for range 200 {
-		served[q.Next(start, any1).Flow]++
+		served[q.Next(start, acceptAny).Flow]++
 	}
 	assert.InDelta(t, 50, served["one"], 2)
 	assert.InDelta(t, 150, served["three"], 2)
@@ -49,14 +49,14 @@
 		expectPush(t, q, item("busy", 1, 0))
 	}
 	for range 50 {
-		q.Next(start, any1)
+		q.Next(start, acceptAny)
 	}
 	for range 50 {
 		expectPush(t, q, item("late", 1, 0))
 	}
 	served := map[string]int{}
 	for range 40 {
-		served[q.Next(start, any1).Flow]++
+		served[q.Next(start, acceptAny).Flow]++
 	}
 	assert.InDelta(t, 20, served["late"], 1)
 }
@@ -67,13 +67,13 @@
 	for _, i := range []*Item[string]{low, high, second} {
 		expectPush(t, q, i)
 	}
-	assert.Same(t, high, q.Next(start, any1))
-	assert.Same(t, second, q.Next(start, any1))
-	assert.Same(t, low, q.Next(start, any1))
-	assert.Nil(t, q.Next(start, any1))
+	assert.Same(t, high, q.Next(start, acceptAny))
+	assert.Same(t, second, q.Next(start, acceptAny))
+	assert.Same(t, low, q.Next(start, acceptAny))
+	assert.Nil(t, q.Next(start, acceptAny))
 }
 
-func TestNextSkipsWhatCannotBeTaken(t *testing.T) {
+func TestNextSkipsRejectedItems(t *testing.T) {
 	q := NewQueue[string](10)
 	expectPush(t, q, item("blocked", 1, 0))
 	expectPush(t, q, item("free", 1, 0))
@@ -82,7 +82,7 @@
 	assert.Equal(t, 1, q.Len())
 }
 
-func TestFullQueueRefusesTheFlowAboveItsShare(t *testing.T) {
+func TestFullQueueRefusesFlowAboveItsShare(t *testing.T) {
 	q := NewQueue[string](4)
 	for range 4 {
 		expectPush(t, q, item("surging", 1, 0))
@@ -99,7 +99,7 @@
 	assert.Equal(t, 4, q.Len())
 }
 
-func TestDeadlineThatCannotBeMetIsRefusedAtOnce(t *testing.T) {
+func TestPushRefusesUnreachableDeadline(t *testing.T) {
 	q := NewQueue[string](100)
 	for range 10 {
 		expectPush(t, q, item("a", 1, 0))
@@ -115,7 +115,7 @@
 	assert.Nil(t, refusal)
 }
 
-func TestWaitingFlowIsEstimatedByWhatItWasServed(t *testing.T) {
+func TestWaitEstimateUsesServedRate(t *testing.T) {
 	q := NewQueue[string](100)
 	for range 20 {
 		expectPush(t, q, item("slow", 1, 0))
@@ -123,14 +123,14 @@
 	now := start
 	for range 10 { // one item of 100 every two seconds: 50 a second
 		now = now.Add(2 * time.Second)
-		q.Next(now, any1)
+		q.Next(now, acceptAny)
 	}
 	// The whole queue is served at 1,000 a second, but not to this flow.
 	assert.InDelta(t, 20, q.EstimateWait("slow", 1, 1000, now).Seconds(), 6)
 }
 
-// TestQueueKeepsItsCounts checks the queue against a plain model under random use.
-func TestQueueKeepsItsCounts(t *testing.T) {
+// TestQueueMatchesModel checks the queue against a plain model under random use.
+func TestQueueMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 8
 		q := NewQueue[string](limit)
@@ -146,7 +146,7 @@
 				delete(waiting, displaced)
 			},
 			"next": func(*rapid.T) {
-				if i := q.Next(start, any1); i != nil {
+				if i := q.Next(start, acceptAny); i != nil {
 					require.True(t, waiting[i])
 					delete(waiting, i)
 				}
@@ -168,7 +168,7 @@
 	})
 }
 
-func TestLimits(t *testing.T) {
+func TestSurgeLimit(t *testing.T) {
 	l := NewLimits()
 	limit := Limit{Rate: 100, Burst: 1000}
 	for range 10 {
@@ -179,10 +179,10 @@
 	assert.Equal(t, SurgeLimit, refusal.Reason)
 	assert.Equal(t, time.Second, refusal.RetryAfter)
 	assert.Nil(t, l.Admit(start.Add(time.Second), "org", limit, 100, 1))
-	assert.Nil(t, l.Admit(start, "other", limit, 100, 1), "limits of organisations are apart")
+	assert.Nil(t, l.Admit(start, "other", limit, 100, 1), "organisations have separate limits")
 }
 
-func TestOnlyPressingDemandIsTold(t *testing.T) {
+func TestOnlyDemandNearLimitIsVisited(t *testing.T) {
 	l := NewLimits()
 	require.Nil(t, l.Admit(start, "small", Limit{Rate: 1000, Burst: 10_000}, 100, 1))
 	require.Nil(t, l.Admit(start, "large", Limit{Rate: 1000, Burst: 10_000}, 4000, 1))
@@ -191,7 +191,7 @@
 	assert.Equal(t, []string{"large"}, told)
 }
 
-func TestPartFollowsDemand(t *testing.T) {
+func TestFractionFollowsDemand(t *testing.T) {
 	for _, c := range []struct {
 		own, others float64
 		routers     int
@@ -209,10 +209,10 @@
 	for _, own := range []float64{10, 20, 70, 0} {
 		sum += LimitFraction(own, 100-own, 4)
 	}
-	assert.InDelta(t, 1, sum, 1e-9, "the parts are the limit")
+	assert.InDelta(t, 1, sum, 1e-9, "the fractions add up to the limit")
 }
 
-func TestRetriesStayATenth(t *testing.T) {
+func TestRetriesStayWithinRatio(t *testing.T) {
 	r := NewRetryBudget(DefaultRetryRatio, DefaultRetryReserve)
 	spent := 0
 	for range 1000 {
--- a/pkg/admission/longest_test.go
+++ b/pkg/admission/durations_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestLongest(t *testing.T) {
+func TestMaxDurations(t *testing.T) {
 	type took struct {
 		at, took time.Duration
 	}
@@ -20,9 +20,9 @@
 	}{
 		{"none ended", nil, 0, 0, false},
 		{"the longest counts", []took{{0, time.Second}, {time.Second, 3 * time.Second}, {2 * time.Second, time.Second}}, 3 * time.Second, 3 * time.Second, true},
-		{"the span before counts", []took{{0, 3 * time.Second}, {longestSpan, time.Second}}, longestSpan + time.Second, 3 * time.Second, true},
-		{"an older one does not", []took{{0, 3 * time.Second}, {longestSpan, time.Second}}, 2 * longestSpan, time.Second, true},
-		{"after a long rest nothing is known", []took{{0, 3 * time.Second}}, 3 * longestSpan, 0, false},
+		{"the previous window counts", []took{{0, 3 * time.Second}, {windowLength, time.Second}}, windowLength + time.Second, 3 * time.Second, true},
+		{"an older window does not", []took{{0, 3 * time.Second}, {windowLength, time.Second}}, 2 * windowLength, time.Second, true},
+		{"nothing is known after a long idle time", []took{{0, 3 * time.Second}}, 3 * windowLength, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
--- a/pkg/admission/example_test.go
+++ b/pkg/admission/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/croftyard/croftyard/pkg/admission"
 )
 
-// A surge limit refuses with the time to come back.
+// A refusal by the surge limit tells when to retry.
 func Example() {
 	limits := admission.NewLimits()
 	limit := admission.Limit{Rate: 100, Burst: 200}
--- a/pkg/admission/limits.go
+++ b/pkg/admission/limits.go
@@ -7,12 +7,12 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits holds the part that this router may admit of each organisation's
-// surge limit. It is not safe for concurrent use.
+// Limits enforces this router's fraction of each organisation's surge limit.
+// It is not safe for concurrent use.
 //
 // An organisation's limit is one token bucket for the fleet. Each router has a
-// part of it, by the part of the organisation's demand that it sees; so callers
-// that all come through one router get the whole limit there. The alternative,
+// fraction of it, in proportion to the organisation's demand that it sees, so
+// callers that all use one router get nearly the whole limit there. The alternative,
 // a bucket in the platform's service, would cost a write for each request.
 type Limits struct {
 	buckets map[string]*bucket
@@ -23,8 +23,8 @@
 	demand  Meter
 	// rate is the organisation's limit for the whole fleet.
 	rate float64
-	// part is the fraction of the organisation's limit that is this router's.
-	part float64
+	// fraction is this router's fraction of the organisation's limit.
+	fraction float64
 }
 
 // NewLimits returns limits without any organisation.
@@ -39,48 +39,49 @@
 	Burst float64
 }
 
-// Admit draws work from the organisation's part. It returns nil or a refusal
-// that tells when the bucket will hold enough. evenPart is this router's part
-// while nothing is known of the others' demand: 1 / number of routers.
-func (l *Limits) Admit(now time.Time, organisation string, limit Limit, work, evenPart float64) *Refusal {
+// Admit takes work from this router's bucket of the organisation. It returns nil or
+// a refusal that tells when the bucket will hold enough. evenFraction is this router's
+// fraction while the others' demand is unknown: 1 / number of routers.
+func (l *Limits) Admit(now time.Time, organisation string, limit Limit, work, evenFraction float64) *Refusal {
 	b := l.buckets[organisation]
 	if b == nil {
-		b = &bucket{limiter: rate.NewLimiter(0, 0), part: evenPart}
+		b = &bucket{limiter: rate.NewLimiter(0, 0), fraction: evenFraction}
 		l.buckets[organisation] = b
-		b.limit(now, limit)
-		// A fresh bucket is full; setting the burst of an empty one fills nothing.
+		b.setLimit(now, limit)
+		// A new limiter starts full, whereas raising the burst of an empty one adds no
+		// tokens.
 		b.limiter = rate.NewLimiter(b.limiter.Limit(), b.limiter.Burst())
 	}
 	b.demand.Add(now, work)
-	b.limit(now, limit)
-	// A request larger than the bucket would never pass: it takes all of it.
+	b.setLimit(now, limit)
+	// A request larger than the bucket takes all of it; otherwise it could never pass.
 	n := min(int(math.Ceil(work)), b.limiter.Burst())
 	if b.limiter.AllowN(now, n) {
 		return nil
 	}
-	return Refuse(SurgeLimit, b.wait(now, n), "the organisation's surge limit is used up")
+	return Refuse(SurgeLimit, b.timeUntil(now, n), "the organisation's surge limit is used up")
 }
 
-func (b *bucket) limit(now time.Time, limit Limit) {
+func (b *bucket) setLimit(now time.Time, limit Limit) {
 	b.rate = limit.Rate
-	perSecond := rate.Limit(limit.Rate * b.part)
+	perSecond := rate.Limit(limit.Rate * b.fraction)
 	if b.limiter.Limit() != perSecond {
 		b.limiter.SetLimitAt(now, perSecond)
 	}
-	burst := max(int(limit.Burst*b.part), 1)
+	burst := max(int(limit.Burst*b.fraction), 1)
 	if b.limiter.Burst() != burst {
 		b.limiter.SetBurstAt(now, burst)
 	}
 }
 
-func (b *bucket) wait(now time.Time, n int) time.Duration {
+func (b *bucket) timeUntil(now time.Time, n int) time.Duration {
 	missing := float64(n) - b.limiter.TokensAt(now)
 	seconds := missing / float64(b.limiter.Limit())
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Demand returns what the organisation asks of this router, in work tokens a
-// second, admitted or not.
+// Demand returns the organisation's demand on this router, admitted or not, in
+// work tokens a second.
 func (l *Limits) Demand(now time.Time, organisation string) float64 {
 	b := l.buckets[organisation]
 	if b == nil {
@@ -89,25 +90,25 @@
 	return b.demand.Rate(now)
 }
 
-// VisitNearLimit calls visit for each organisation whose demand here would, if all
-// routers saw as much, come near its limit. Only these need to be told to other
-// routers: for the rest the split does not bind.
+// VisitNearLimit calls visit for each organisation whose demand would come near its
+// limit if all routers saw as much as this one. Only these need to be reported to other
+// routers: for the rest the split does not matter.
 func (l *Limits) VisitNearLimit(now time.Time, routers int, visit func(organisation string, demand float64)) {
-	const near = 0.5
+	const nearLimit = 0.5
 	for organisation, b := range l.buckets {
 		demand := b.demand.Rate(now)
-		if demand*float64(routers) >= near*b.rate {
+		if demand*float64(routers) >= nearLimit*b.rate {
 			visit(organisation, demand)
 		}
 	}
 }
 
-// VisitDemands calls visit for each organisation seen lately and forgets the others.
+// VisitDemands calls visit for each organisation with recent demand and drops the others.
 func (l *Limits) VisitDemands(now time.Time, visit func(organisation string, demand float64)) {
-	const forgotten = 0.01
+	const minDemand = 0.01
 	for organisation, b := range l.buckets {
 		demand := b.demand.Rate(now)
-		if demand < forgotten {
+		if demand < minDemand {
 			delete(l.buckets, organisation)
 			continue
 		}
@@ -115,46 +116,46 @@
 	}
 }
 
-// SetFraction gives this router its part of the organisation's limit from the
-// demand of the others, in work tokens a second, as the digests tell it. routers is the
-// number of routers; without digests pass others < 0 for an even split.
+// SetFraction sets this router's fraction of the organisation's limit. others is the
+// demand on the other routers in work tokens a second, as their digests report it, or
+// below 0 for an even split when there are no digests. routers is the number of routers.
 func (l *Limits) SetFraction(now time.Time, organisation string, others float64, routers int) {
 	b := l.buckets[organisation]
 	if b == nil {
 		return
 	}
-	b.part = LimitFraction(b.demand.Rate(now), others, routers)
+	b.fraction = LimitFraction(b.demand.Rate(now), others, routers)
 }
 
-// LimitFraction is the fraction of a limit for a router that sees demand own while the
-// others see others. A tenth is split evenly, so that a router whose demand is
-// new admits something at once.
+// LimitFraction returns the fraction of a limit for a router that sees demand own while
+// the others see others. A tenth of the limit is split evenly, so that a router whose
+// demand is new admits something at once.
 func LimitFraction(own, others float64, routers int) float64 {
-	const evenly = 0.1
+	const evenlySplit = 0.1
 	even := 1 / float64(max(routers, 1))
 	total := own + others
 	if others < 0 || total <= 0 {
 		return even
 	}
-	return (1-evenly)*own/total + evenly*even
+	return (1-evenlySplit)*own/total + evenlySplit*even
 }
 
-// Meter is an exponentially decaying rate. The zero value is ready.
+// Meter measures a rate with exponential decay. The zero value is ready to use.
 type Meter struct {
 	rate float64
 	last time.Time
 }
 
-// meterTime is the time over which a Meter forgets.
+// meterTime is the time constant of a Meter's decay.
 const meterTime = 5 * time.Second
 
-// Add counts an amount at now.
+// Add adds an amount at now.
 func (m *Meter) Add(now time.Time, amount float64) {
 	m.rate = m.Rate(now) + amount/meterTime.Seconds()
 	m.last = now
 }
 
-// Rate returns the amount a second.
+// Rate returns the decayed rate per second.
 func (m *Meter) Rate(now time.Time) float64 {
 	if m.last.IsZero() {
 		return 0
