--- a/pkg/placement/bench_test.go
+++ b/pkg/placement/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkDecision is one whole decision: the edge's choice of a group, with
+// BenchmarkDecision measures one whole decision: the edge's choice of a group, with
 // its estimate of the prefix's share, and the owner's choice of an engine.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ engines, routers int }{{40, 9}, {400, 36}, {1520, 136}} {
@@ -44,7 +44,7 @@
 	}
 }
 
-// BenchmarkLayout is what a change of the live view costs.
+// BenchmarkLayout measures the new layout after a change of the live engines.
 func BenchmarkLayout(b *testing.B) {
 	for _, engines := range []int{40, 400, 1520} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/pkg/placement/choose.go
+++ b/pkg/placement/choose.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Request is what the edge knows of a request before it is placed.
+// Request describes a request to the edge that places it.
 type Request struct {
-	// Chat identifies the chat; it places a chat that has neither token nor prefix.
+	// Chat identifies the chat and places one that has neither token nor prefix.
 	Chat uint64
 	// Prefix is the hash of a shared prompt prefix, or 0.
 	Prefix uint64
@@ -16,20 +16,20 @@
 	PrefixShare float64
 	// Engine is the index of the token's engine in the layout, or None.
 	Engine int
-	// EligibleGroups are the groups that can serve the request, such as those with its
-	// adapter; nil for all.
+	// EligibleGroups lists the groups that can serve the request, such as those with
+	// its adapter; nil means all.
 	EligibleGroups []int
 }
 
-// Loads is what the edge knows of the groups: requests queued and in flight
-// per engine, entry i for Layout.Groups[i]. Figures are lagged by a digest
-// period or two. A negative entry is unknown and counts as the mean.
+// Loads holds the requests queued and in flight per engine of each group, entry i
+// for Layout.Groups[i], as the edge knows them: one or two digest periods old. A
+// negative entry is unknown and counts as the mean.
 type Loads []float64
 
-// Origin tells what a choice of a group rests on.
+// Origin tells why a group was chosen.
 type Origin uint8
 
-// The origins of a choice, in the order in which they are tried.
+// Origins of a choice, in the order in which they are tried.
 const (
 	FromNothing Origin = iota
 	FromToken
@@ -43,7 +43,7 @@
 // String returns the name used in metrics and in the state dump.
 func (o Origin) String() string { return originNames[o] }
 
-// Choice is the edge's decision.
+// Choice is the edge's choice of a group.
 type Choice struct {
 	// Group is an index into Layout.Groups, or None when there are no engines.
 	Group int
@@ -53,8 +53,7 @@
 	Origin Origin
 }
 
-// MeanLoad returns the mean load per engine over all groups whose load is known,
-// weighted by engines.
+// MeanLoad returns the mean load per engine over all groups with known load.
 func (l *Layout) MeanLoad(loads Loads) float64 {
 	var sum, engines float64
 	for g, load := range loads {
@@ -71,15 +70,15 @@
 	return sum / engines
 }
 
-// Choose picks the group for a request. bound is the operator's c: the
-// multiple of the mean load that no group is to exceed.
+// Choose picks the group for a request. bound is the operator's load factor c:
+// the multiple of the mean load that no group should exceed.
 //
-// A group above the bound is not avoided outright. The figures are old, and
-// every edge reads the same ones, so all of them would move at once. Each
-// request moves with the probability 1 - target/load, which in sum moves just
+// A group above the bound is not avoided outright. The loads are stale, and every
+// edge reads the same ones, so all edges would move their requests at once. Each
+// request is diverted with probability 1 - target/load, which in total diverts only
 // the excess.
 func (l *Layout) Choose(req Request, loads Loads, bound float64, rnd *rand.Rand) Choice {
-	choice := l.home(req, loads)
+	choice := l.homeGroup(req, loads)
 	if choice.Group == None {
 		return choice
 	}
@@ -95,13 +94,13 @@
 	return l.divert(choice, req.EligibleGroups, loads, mean, rnd)
 }
 
-// home is the group a request would go to if no group were overloaded.
-func (l *Layout) home(req Request, loads Loads) Choice {
+// homeGroup returns the group a request would go to if no group were overloaded.
+func (l *Layout) homeGroup(req Request, loads Loads) Choice {
 	if len(l.Groups) == 0 {
 		return Choice{Group: None, Engine: None}
 	}
 	if req.EligibleGroups != nil {
-		return l.homeAmong(req)
+		return l.homeAmongEligible(req)
 	}
 	if req.Engine != None {
 		return Choice{Group: l.GroupOf[req.Engine], Engine: req.Engine, Origin: FromToken}
@@ -112,9 +111,9 @@
 	return Choice{Group: l.GroupForKey(req.Chat), Engine: None, Origin: FromChat}
 }
 
-// homeAmong is home for a request that only some groups can serve: they are few,
-// so a shared prefix finds them by itself.
-func (l *Layout) homeAmong(req Request) Choice {
+// homeAmongEligible is homeGroup for a request that only some groups can serve. They
+// are few, so requests with a shared prefix meet there without spreading by prefix.
+func (l *Layout) homeAmongEligible(req Request) Choice {
 	if req.Engine != None && slices.Contains(req.EligibleGroups, l.GroupOf[req.Engine]) {
 		return Choice{Group: l.GroupOf[req.Engine], Engine: req.Engine, Origin: FromToken}
 	}
@@ -130,14 +129,14 @@
 	return best
 }
 
-// SpreadSize is the number of groups that a prefix with this share of the
-// traffic is spread over: twice its share, and two so that there is a choice.
+// SpreadSize returns the number of groups over which to spread a prefix with this
+// share of the traffic: twice its share, plus two so that there is a choice.
 func SpreadSize(share float64, groups int) int {
 	return min(groups, int(math.Ceil(2*share*float64(groups)))+2)
 }
 
-// prefixGroup takes two groups of the prefix's set, fixed by the chat, and
-// returns the less loaded.
+// prefixGroup returns the less loaded of two groups in the prefix's set. The chat
+// determines the two.
 func (l *Layout) prefixGroup(req Request, loads Loads) int {
 	var space [maxSpread]int
 	set := l.spreadSet(req.Prefix, SpreadSize(req.PrefixShare, len(l.Groups)), &space)
@@ -151,11 +150,11 @@
 	return first
 }
 
-// divert takes the less loaded of two random groups, the power of two choices:
-// unlike the least loaded of all, it differs between edges.
-func (l *Layout) divert(from Choice, only []int, loads Loads, mean float64, rnd *rand.Rand) Choice {
-	first := l.otherGroup(from.Group, only, rnd)
-	second := l.otherGroup(from.Group, only, rnd)
+// divert picks the less loaded of two random groups (power of two choices). Unlike the
+// least loaded of all groups, it differs between edges.
+func (l *Layout) divert(from Choice, eligible []int, loads Loads, mean float64, rnd *rand.Rand) Choice {
+	first := l.otherGroup(from.Group, eligible, rnd)
+	second := l.otherGroup(from.Group, eligible, rnd)
 	if first == None || second == None {
 		return from
 	}
@@ -168,32 +167,32 @@
 	return Choice{Group: first, Engine: None, Origin: FromDiversion}
 }
 
-// Reroute returns another group for a request that the owner of from could not
+// Reroute picks another group for a request that the owner of group from could not
 // place because all of its engines are at the bound.
-func (l *Layout) Reroute(from int, only []int, loads Loads, rnd *rand.Rand) Choice {
-	none := Choice{Group: from, Engine: None, Origin: FromNothing}
-	return l.divert(none, only, loads, l.MeanLoad(loads), rnd)
+func (l *Layout) Reroute(from int, eligible []int, loads Loads, rnd *rand.Rand) Choice {
+	current := Choice{Group: from, Engine: None, Origin: FromNothing}
+	return l.divert(current, eligible, loads, l.MeanLoad(loads), rnd)
 }
 
-// otherGroup returns a random group other than not, or None.
-func (l *Layout) otherGroup(not int, only []int, rnd *rand.Rand) int {
-	if only != nil {
-		at := slices.Index(only, not)
-		if at < 0 || len(only) < 2 {
+// otherGroup returns a random group other than excluded, or None.
+func (l *Layout) otherGroup(excluded int, eligible []int, rnd *rand.Rand) int {
+	if eligible != nil {
+		at := slices.Index(eligible, excluded)
+		if at < 0 || len(eligible) < 2 {
 			return None
 		}
-		return only[randomOther(len(only), at, rnd)]
+		return eligible[randomOther(len(eligible), at, rnd)]
 	}
 	if len(l.Groups) < 2 {
 		return None
 	}
-	return randomOther(len(l.Groups), not, rnd)
+	return randomOther(len(l.Groups), excluded, rnd)
 }
 
-// randomOther returns a random number below n other than not.
-func randomOther(n, not int, rnd *rand.Rand) int {
+// randomOther returns a random number below n other than excluded.
+func randomOther(n, excluded int, rnd *rand.Rand) int {
 	i := rnd.IntN(n - 1)
-	if i >= not {
+	if i >= excluded {
 		i++
 	}
 	return i
--- a/pkg/placement/example_test.go
+++ b/pkg/placement/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/croftyard/croftyard/pkg/placement"
 )
 
-// A router divides its engines, finds a chat's group, and seals a token for the
-// engine that served.
+// A router divides the engines into groups, chooses a chat's group and seals a token for
+// the engine that served.
 func Example() {
 	engines := []uint64{placement.Hash("engine-a"), placement.Hash("engine-b"), placement.Hash("engine-c")}
 	routers := []uint64{placement.Hash("router-1"), placement.Hash("router-2")}
--- a/pkg/placement/layout.go
+++ b/pkg/placement/layout.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// DefaultGroupSize is the number of engines in a group when the operator sets
-// none. Groups below about ten lose cache reuse: a chat whose engine is at its
-// bound then finds too few neighbours with room.
+// DefaultGroupSize is the number of engines in a group unless the operator sets one.
+// Groups below about ten lose cache reuse: a chat whose engine is at its bound then
+// finds too few other engines with free capacity.
 const DefaultGroupSize = 10
 
 // None marks the absence of an engine, a group or a token.
 const None = -1
 
 // Layout is the division of one pool's engines into groups. It is immutable;
-// a change of the live view makes a new one.
+// a change of the live engines or routers makes a new one.
 //
 //	Engines: e0 e1 e2 e3 ...      sorted by name hash
 //	GroupOf:  1  0  1  2 ...      index into Groups
@@ -51,7 +51,7 @@
 		l.Groups[g].ID = score(pool, uint64(g))
 		l.Groups[g].Owner = Owner(l.Groups[g].ID, routers)
 	}
-	l.assign()
+	l.assignGroups()
 	return l
 }
 
@@ -66,24 +66,25 @@
 	return max(n, 1)
 }
 
-// slack is how many engines a group may have above the mean. One replaced
+// sizeSlack is how many engines a group may have above the mean. One replaced
 // engine of 400 moves 1.65 others at a slack of 1, 0.45 at 3 and 0.15 at 5, where
-// the largest group has 15 of them.
-const slack = 3
+// the largest group has 15 engines.
+const sizeSlack = 3
 
-// assign gives each engine its best group that still has room. Plain
-// rendezvous would leave groups of five and of twenty; a strict split would
-// move many engines at each join, and each move costs exactness for seconds.
-func (l *Layout) assign() {
+// assignGroups puts each engine into its highest-scoring group that is not full. Plain
+// rendezvous hashing would leave groups of five and of twenty engines; an exactly even
+// split would move many engines at each join, and after each move the owner's counts
+// are inexact for seconds.
+func (l *Layout) assignGroups() {
 	if len(l.Groups) == 0 {
 		return
 	}
-	room := (len(l.Engines)+len(l.Groups)-1)/len(l.Groups) + slack
+	maxSize := (len(l.Engines)+len(l.Groups)-1)/len(l.Groups) + sizeSlack
 	for e, engine := range l.Engines {
 		best := None
 		var bestScore uint64
 		for g := range l.Groups {
-			if len(l.Groups[g].Engines) >= room {
+			if len(l.Groups[g].Engines) >= maxSize {
 				continue
 			}
 			s := score(engine, l.Groups[g].ID)
@@ -111,8 +112,8 @@
 	return slices.IndexFunc(l.Groups, func(g Group) bool { return g.ID == id })
 }
 
-// GroupForKey returns the group for key, each group weighted by its number
-// of engines. It returns None when there are no groups.
+// GroupForKey returns the group for key by rendezvous hashing, each group weighted by
+// its number of engines. It returns None when there are no groups.
 func (l *Layout) GroupForKey(key uint64) int {
 	best := None
 	bestScore := -1.0
@@ -126,10 +127,10 @@
 	return best
 }
 
-// maxSpread bounds the set of groups that one shared prefix is spread over.
+// maxSpread bounds the set of groups over which one shared prefix is spread.
 const maxSpread = 64
 
-// spreadSet writes into set the k best groups for a prefix, best first.
+// spreadSet writes the k highest-scoring groups for a prefix into set, best first.
 func (l *Layout) spreadSet(prefix uint64, k int, set *[maxSpread]int) []int {
 	k = min(k, len(l.Groups), maxSpread)
 	found := set[:0]
--- a/pkg/placement/pick.go
+++ b/pkg/placement/pick.go
@@ -2,45 +2,45 @@
 
 import "math"
 
-// EngineState is what the owner knows of one of its engines.
+// EngineState is the owner's view of one of its engines.
 type EngineState struct {
-	// InFlight counts the requests that this engine is running, the owner's own
-	// exactly and those of other routers by the engine's last report.
+	// InFlight counts the requests that the engine runs: exactly for the owner's own,
+	// by the engine's last report for those of other routers.
 	InFlight int
-	// Slots is the most requests the engine takes at a time; 0 means no limit.
+	// Slots is the most requests the engine runs at a time; 0 means no limit.
 	Slots int
-	// HasPrefix tells that the request's shared prefix was sent here lately.
+	// HasPrefix tells that the request's shared prefix was sent to this engine recently.
 	HasPrefix bool
-	// Ineligible rules the engine out: leaving, suspect, wrong adapter.
+	// Ineligible excludes the engine: it is leaving, suspect or lacks the adapter.
 	Ineligible bool
 }
 
-// Bounds are the limits of one decision in an owner's group.
+// Bounds holds the load limits for one choice in an owner's group.
 type Bounds struct {
-	// LoadFactor is the operator's bound, a multiple of the mean, at least 1.
+	// LoadFactor is the operator's bound as a multiple of the mean load, at least 1.
 	LoadFactor float64
 	// FleetMean is the mean load of all engines of the pool, from digests.
 	FleetMean float64
 }
 
-// hard is the load that no engine may exceed.
+// maxLoad returns the load that no engine may exceed.
 //
-// The two places above the mean keep a nearly idle pool from refusing: at a
-// mean of 0.5 a bound of 1.25 would allow no second request.
-func (b Bounds) hard() float64 {
-	const idle = 2
-	return max(b.LoadFactor*b.FleetMean, b.FleetMean+idle)
+// The minimum of two requests above the mean keeps a nearly idle pool from refusing:
+// at a mean of 0.5 a factor of 1.25 would allow no second request.
+func (b Bounds) maxLoad() float64 {
+	const minHeadroom = 2
+	return max(b.LoadFactor*b.FleetMean, b.FleetMean+minHeadroom)
 }
 
-// PickEngine picks the engine for a request inside the owner's group and
-// returns its index in engines, or None when all are at the hard bound.
+// PickEngine picks the engine for a request in the owner's group and returns its
+// index in engines, or None when all are at the maximum load.
 //
-// The token's engine is taken while it is below max(C x group mean, mean + 1):
-// it holds the chat's cache. Otherwise the least loaded is taken, and among
-// those within one request of it one that holds the shared prefix.
+// The token's engine holds the chat's cache and is taken while its load is below
+// max(LoadFactor x group mean, mean + 1). Otherwise the least loaded engine is taken,
+// or one with the shared prefix whose load is within one request of it.
 func PickEngine(engines []EngineState, token int, b Bounds) int {
-	limit := b.hard()
-	if token != None && engines[token].free(limit) {
+	limit := b.maxLoad()
+	if token != None && engines[token].hasRoom(limit) {
 		mean := groupMean(engines)
 		if float64(engines[token].InFlight) < max(b.LoadFactor*mean, mean+1) {
 			return token
@@ -49,8 +49,8 @@
 	return leastLoaded(engines, limit)
 }
 
-// free tells whether one more request may go to the engine.
-func (e EngineState) free(limit float64) bool {
+// hasRoom tells whether the engine can take one more request.
+func (e EngineState) hasRoom(limit float64) bool {
 	if e.Ineligible {
 		return false
 	}
@@ -78,26 +78,26 @@
 func leastLoaded(engines []EngineState, limit float64) int {
 	best := None
 	for i, e := range engines {
-		if !e.free(limit) {
+		if !e.hasRoom(limit) {
 			continue
 		}
-		if best == None || lighter(e, engines[best]) {
+		if best == None || lessLoaded(e, engines[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-// lighter compares two engines. Holding the prefix is worth one request.
-func lighter(a, b EngineState) bool {
-	return weight(a) < weight(b)
+// lessLoaded tells whether a is preferred to b. Having the prefix outweighs one request.
+func lessLoaded(a, b EngineState) bool {
+	return adjustedLoad(a) < adjustedLoad(b)
 }
 
-func weight(e EngineState) float64 {
-	const holdsPrefix = 1.5
+func adjustedLoad(e EngineState) float64 {
+	const prefixBonus = 1.5
 	w := float64(e.InFlight)
 	if e.HasPrefix {
-		w -= holdsPrefix
+		w -= prefixBonus
 	}
 	return w
 }
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -1,22 +1,22 @@
 // Package placement decides which engine serves a request.
 //
-// The decision has two halves, made by two routers that share no memory:
+// Two routers that share no memory each make one half of the decision:
 //
 //	edge                               owner
 //	token, prefix or chat              exact count of its engines' requests
 //	  -> group (Layout.Choose)           -> engine (PickEngine)
-//	  lagged load of each group          hard bound on every engine
+//	  stale load of each group           maximum load of every engine
 //
 // The engines of one pool (one model in one data centre) are divided into
-// groups of about ten, and each group is owned by one router. Both divisions
-// are rendezvous hashing over what the router sees alive, so no message is
-// needed to agree on them. Ownership is a hint for exactness: two routers that
-// both believe they own a group are safe, and each just sees part of its load.
+// groups of about ten, and each group is owned by one router. Both assignments
+// use rendezvous hashing over the engines and routers that are alive, so routers
+// agree on them without messages. Ownership only makes counts exact: when two
+// routers both act as owner, nothing breaks, and each sees part of the load.
 //
-// Edges that each pick engines by reported load herd: all read the same lagged report
-// and pick the same engine (docs/design/placement.md).
+// If every edge picked engines by reported load, they would herd: all would read the
+// same stale report and pick the same engine (docs/design/placement.md).
 //
-// The package does no I/O. Time and randomness come from the caller.
+// The package does no I/O. The caller passes time and randomness.
 package placement
 
 import (
@@ -26,12 +26,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash maps a name to the 64 bit value that all rendezvous scores start from.
+// Hash maps a name to the 64-bit value from which all rendezvous scores are computed.
 func Hash(name string) uint64 {
 	return xxhash.Sum64String(name)
 }
 
-// score is the rendezvous weight of node for key: uniform and independent for
+// score returns the rendezvous score of node for key: uniform and independent for
 // each pair.
 func score(key, node uint64) uint64 {
 	var pair [16]byte
@@ -40,8 +40,8 @@
 	return xxhash.Sum64(pair[:])
 }
 
-// weightedScore is rendezvous hashing with weights: the chance that a node has
-// the highest score is its share of the sum of the weights.
+// weightedScore returns the score for weighted rendezvous hashing: a node has the
+// highest score with a probability of its weight over the sum of all weights.
 func weightedScore(key, node uint64, weight float64) float64 {
 	const top53 = 1 << 53
 	uniform := (float64(score(key, node)>>11) + 0.5) / top53
@@ -63,8 +63,8 @@
 	return best
 }
 
-// Rank is the rendezvous weight of a node for a key: sorting nodes by it,
-// largest first, gives the order in which they are to take the key's role.
+// Rank returns the rendezvous score of a node for a key. Nodes sorted by it, largest
+// first, are in the order in which they should take the key's role.
 func Rank(key, node uint64) uint64 {
 	return score(key, node)
 }
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -17,7 +17,7 @@
 	return hashes
 }
 
-// expectMoved tells how many engines of before are in another group in after.
+// expectMoved asserts that at most atMost engines of before are in another group in after.
 func expectMoved(t *testing.T, before, after *Layout, atMost int) {
 	t.Helper()
 	moved := 0
@@ -40,7 +40,7 @@
 		members := 0
 		for _, g := range l.Groups {
 			members += len(g.Engines)
-			assert.LessOrEqual(t, len(g.Engines), (c.engines+c.groups-1)/c.groups+slack)
+			assert.LessOrEqual(t, len(g.Engines), (c.engines+c.groups-1)/c.groups+sizeSlack)
 		}
 		assert.Equal(t, c.engines, members)
 	}
@@ -92,7 +92,7 @@
 	assert.Equal(t, None, empty.Choose(Request{Engine: None}, nil, 1.25, rnd).Group)
 }
 
-func TestChooseDivertsTheExcessOnly(t *testing.T) {
+func TestChooseDivertsOnlyTheExcess(t *testing.T) {
 	l := NewLayout(1, names("engine", 40), names("router", 9), 10)
 	rnd := rand.New(rand.NewPCG(3, 4))
 	hot := l.GroupOf[0]
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestOnlySomeGroupsCanServe(t *testing.T) {
+func TestChooseKeepsToEligibleGroups(t *testing.T) {
 	l := NewLayout(1, names("engine", 40), names("router", 9), 10)
 	rnd := rand.New(rand.NewPCG(3, 4))
 	loads := Loads{1, 1, 1, 1}
@@ -132,7 +132,7 @@
 		assert.Contains(t, []int{1, 3}, l.Choose(Request{Engine: None, EligibleGroups: []int{1, 3}}, hot, 1.25, rnd).Group)
 	}
 	assert.Equal(t, 3, l.Reroute(1, []int{1, 3}, Loads{0, 9, 0, 1}, rnd).Group)
-	assert.Equal(t, 1, l.Reroute(1, []int{1}, Loads{0, 9, 0, 1}, rnd).Group, "nobody else can")
+	assert.Equal(t, 1, l.Reroute(1, []int{1}, Loads{0, 9, 0, 1}, rnd).Group, "no other group is eligible")
 	assert.Equal(t, None, l.Choose(Request{Engine: None, EligibleGroups: []int{}}, loads, 1.25, rnd).Group)
 	token := l.Groups[1].Engines[0]
 	assert.Equal(t, FromToken, l.Choose(Request{Engine: token, EligibleGroups: []int{1, 3}}, loads, 1.25, rnd).Origin)
@@ -166,12 +166,12 @@
 	}{
 		{"least loaded", []EngineState{{InFlight: 5}, {InFlight: 3}}, None, 1},
 		{"token's engine", []EngineState{{InFlight: 10}, {InFlight: 9}}, 0, 0},
-		{"token's engine above the group", []EngineState{{InFlight: 12}, {InFlight: 2}}, 0, 1},
-		{"prefix holder among near ones", []EngineState{{InFlight: 4}, {InFlight: 5, HasPrefix: true}}, None, 1},
+		{"token's engine above the group's mean", []EngineState{{InFlight: 12}, {InFlight: 2}}, 0, 1},
+		{"prefix holder within one request", []EngineState{{InFlight: 4}, {InFlight: 5, HasPrefix: true}}, None, 1},
 		{"prefix holder too far above", []EngineState{{InFlight: 4}, {InFlight: 7, HasPrefix: true}}, None, 0},
 		{"ineligible", []EngineState{{InFlight: 0, Ineligible: true}, {InFlight: 9}}, 0, 1},
 		{"slots", []EngineState{{InFlight: 2, Slots: 2}, {InFlight: 9}}, None, 1},
-		{"all at the hard bound", []EngineState{{InFlight: 13}, {InFlight: 14}}, 0, None},
+		{"all at the maximum load", []EngineState{{InFlight: 13}, {InFlight: 14}}, 0, None},
 		{"no engines", nil, None, None},
 	} {
 		assert.Equal(t, c.want, PickEngine(c.engines, c.token, b), c.name)
