--- a/pkg/policy/delta.go
+++ b/pkg/policy/delta.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// Delta is what brings a router from one version to a later one without
-// sending the whole head: the edits in between.
+// Delta brings a router from one version to a later one by the edits in between,
+// without the whole head.
 type Delta struct {
 	// From is the version that the edits are applied to.
 	From uint64 `json:"from"`
-	// Full is the whole head, set when the edits kept do not reach back to From.
+	// Full is the whole head, set when the kept edits do not reach back to From.
 	Full *Head `json:"full,omitempty"`
 	// Edits lead from From to the newest version, oldest first.
 	Edits []Edit `json:"edits,omitempty"`
 }
 
-// DeltaSince returns the delta from a version to this head.
+// DeltaSince returns the delta from an earlier version to this head.
 func (h Head) DeltaSince(version uint64) Delta {
 	first := slices.IndexFunc(h.Edits, func(e Edit) bool { return e.Version == version+1 })
 	if version == 0 || first < 0 {
@@ -22,7 +22,7 @@
 	return Delta{From: version, Edits: h.Edits[first:]}
 }
 
-// SegmentHashes returns the segments that the delta brings, newest last.
+// SegmentHashes returns the hashes of the segments that the delta adds, newest last.
 func (d Delta) SegmentHashes() []Hash {
 	var hashes []Hash
 	if d.Full != nil {
@@ -41,8 +41,8 @@
 	return hashes
 }
 
-// ApplyDelta returns the head after the delta. A delta from another version, or
-// one that leads back, is left out.
+// ApplyDelta returns the head after the delta. It ignores a delta from another version
+// and one that leads to an older version.
 func (h Head) ApplyDelta(d Delta) Head {
 	if d.Full != nil {
 		if d.Full.Version > h.Version {
--- a/pkg/policy/edit.go
+++ b/pkg/policy/edit.go
@@ -10,38 +10,38 @@
 	"github.com/croftyard/croftyard/pkg/kv"
 )
 
-// Keys of the service.
+// Keys in the store.
 const (
 	// HeadKey holds the head.
 	HeadKey = "croftyard/config/head"
-	// segmentKey with a hash holds a segment's text.
-	segmentKey = "croftyard/config/segment/"
+	// segmentKeyPrefix followed by a hash holds a segment's text.
+	segmentKeyPrefix = "croftyard/config/segment/"
 )
 
 // SegmentKey returns the key under which a segment's text is stored.
-func SegmentKey(h Hash) string { return segmentKey + string(h) }
+func SegmentKey(h Hash) string { return segmentKeyPrefix + string(h) }
 
-// Proposal is an edit that an operator asks for.
+// Proposal is an edit that an operator requests.
 type Proposal struct {
-	// ID must be new and random; it settles a lost answer.
+	// ID must be new and random; it shows whether an edit took effect whose answer was lost.
 	ID     string
 	Author string
 	Note   string
 	At     time.Time
-	// Base is the version the operator looked at.
+	// Base is the version on which the operator based the edit.
 	Base uint64
-	// Put are the segments to set, Delete the names to remove.
+	// Put lists the segments to set, Delete those to remove.
 	Put    []Segment
 	Delete []SegmentID
 }
 
-// Conflict tells which segment two edits both changed.
+// Conflict is the error of an edit whose segment another edit changed.
 type Conflict struct {
 	Segment SegmentID
-	// Base is the segment's hash at the proposal's base, Current the one in force.
+	// Base is the segment's hash at the proposal's base version, Current the one in force.
 	Base    Hash
 	Current Hash
-	// Version is the one in force.
+	// Version is the version in force.
 	Version uint64
 }
 
@@ -53,16 +53,16 @@
 // Unwrap lets errors.Is find ErrConflict.
 func (c *Conflict) Unwrap() error { return ErrConflict }
 
-// maxTries bounds how often an edit is rebased on others' edits or repeated
+// maxAttempts bounds how often an edit is rebased on others' edits or repeated
 // after a lost answer.
-const maxTries = 16
+const maxAttempts = 16
 
-// Apply brings a proposal into force and returns the head that holds it.
+// Apply brings a proposal into force and returns the head that contains it.
 //
-// Another edit in between of other segments is rebased silently; one of the
-// same segment is a *Conflict. After a lost answer the head is read again: if
-// it holds the edit's id, the edit took effect. A result of ErrUnknown is
-// settled the same way by calling Apply again with the same proposal.
+// The proposal is silently rebased on edits of other segments since its base; an
+// edit of the same segment results in a *Conflict. After a lost answer the head is
+// read again: if it contains the edit's ID, the edit took effect. After
+// ErrOutcomeUnknown, call Apply again with the same proposal to learn the outcome.
 func Apply(ctx context.Context, store kv.Store, p Proposal) (Head, error) {
 	for _, s := range p.Put {
 		if err := putSegment(ctx, store, s); err != nil {
@@ -70,7 +70,7 @@
 		}
 	}
 	unsettled := false
-	for range maxTries {
+	for range maxAttempts {
 		head, err := tryApply(ctx, store, p)
 		switch {
 		case err == nil:
@@ -81,20 +81,20 @@
 			unsettled = true
 			continue
 		case unsettled && (errors.Is(err, kv.ErrUnavailable) || errors.Is(err, ErrUnavailable)):
-			// The swap whose answer was lost may still be in force or on its way.
+			// The swap whose answer was lost may be in force or still be delivered.
 			return Head{}, fmt.Errorf("%w: edit %s: %v", ErrOutcomeUnknown, p.ID, err)
 		default:
-			return Head{}, convert(err)
+			return Head{}, convertError(err)
 		}
 	}
 	if unsettled {
-		return Head{}, fmt.Errorf("%w: edit %s: no answer in %d tries", ErrOutcomeUnknown, p.ID, maxTries)
+		return Head{}, fmt.Errorf("%w: edit %s: no answer in %d tries", ErrOutcomeUnknown, p.ID, maxAttempts)
 	}
-	return Head{}, fmt.Errorf("%w: edit %s lost %d races", ErrUnavailable, p.ID, maxTries)
+	return Head{}, fmt.Errorf("%w: edit %s lost %d races", ErrUnavailable, p.ID, maxAttempts)
 }
 
 func tryApply(ctx context.Context, store kv.Store, p Proposal) (Head, error) {
-	entry, err := readSettled(ctx, store, HeadKey)
+	entry, err := readRetrying(ctx, store, HeadKey)
 	if err != nil {
 		return Head{}, err
 	}
@@ -115,7 +115,7 @@
 	return next, nil
 }
 
-// rebase checks the proposal against the head in force and returns the next.
+// rebase checks the proposal against the head in force and returns the next head.
 func rebase(ctx context.Context, store kv.Store, head Head, p Proposal) (Head, error) {
 	base, err := head.SegmentsAt(p.Base)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return next, err
 }
 
-// Rollback proposes the content of an earlier version as a new one.
+// Rollback returns the segments to put and to remove to restore an earlier version.
 func Rollback(head Head, version uint64) (put []Entry, remove []SegmentID, err error) {
 	old, err := head.SegmentsAt(version)
 	if err != nil {
@@ -165,26 +165,26 @@
 	return put, remove, nil
 }
 
-// putSegment stores a segment. It is immutable, so finding it is success.
+// putSegment stores a segment. Segments are immutable, so an existing one is a success.
 func putSegment(ctx context.Context, store kv.Store, s Segment) error {
 	var err error
-	for range maxTries {
+	for range maxAttempts {
 		_, err = store.Swap(ctx, SegmentKey(s.Hash), 0, s.Text, kv.NoLease)
 		if err == nil || errors.Is(err, kv.ErrConflict) {
 			return nil
 		}
 		if !errors.Is(err, kv.ErrUnknown) {
-			return convert(err)
+			return convertError(err)
 		}
 	}
-	// The head was not touched: nothing is in force, whatever became of this.
+	// The head was not changed, so the edit is not in force even if the segment was stored.
 	return fmt.Errorf("%w: storing [%s]: %v", ErrUnavailable, s.ID, err)
 }
 
-// readSettled reads a key, repeating reads whose answer was lost.
-func readSettled(ctx context.Context, store kv.Store, key string) (kv.Entry, error) {
+// readRetrying reads a key and repeats reads whose answer was lost.
+func readRetrying(ctx context.Context, store kv.Store, key string) (kv.Entry, error) {
 	var err error
-	for range maxTries {
+	for range maxAttempts {
 		var entry kv.Entry
 		entry, err = store.Get(ctx, key)
 		if !errors.Is(err, kv.ErrUnknown) {
@@ -194,8 +194,8 @@
 	return kv.Entry{}, fmt.Errorf("%w: %v", kv.ErrUnavailable, err)
 }
 
-// convert turns the store's errors into this package's.
-func convert(err error) error {
+// convertError converts the store's errors into this package's.
+func convertError(err error) error {
 	switch {
 	case errors.Is(err, kv.ErrUnavailable):
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
--- a/pkg/policy/example_test.go
+++ b/pkg/policy/example_test.go
@@ -9,7 +9,7 @@
 	"github.com/croftyard/croftyard/pkg/policy"
 )
 
-// An edit is brought into force and adopted.
+// An edit comes into force, and a router adopts the resulting snapshot.
 func Example() {
 	ctx := context.Background()
 	store := kv.NewMemory(time.Now)
--- a/pkg/policy/head.go
+++ b/pkg/policy/head.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// maxEdits bounds the edits kept in the head: the history that can be rolled
-// back to, the window in which a lost answer can be settled, and the delta
-// that a router that lags can be brought up with.
+// maxEdits bounds the edits kept in the head, and with it how far operators can roll
+// back, how long a lost answer can be resolved, and how far a router may lag and still
+// catch up by a delta.
 const maxEdits = 128
 
-// Head is the one value that decides which configuration is in force.
+// Head is the single stored value that decides which configuration is in force.
 type Head struct {
 	Version  uint64  `json:"version"`
 	Segments []Entry `json:"segments"`
 	Edits    []Edit  `json:"edits"`
 }
 
-// Entry names one segment and the hash of its text. Entries are sorted by name.
+// Entry holds the kind and name of one segment and the hash of its text. Entries are
+// sorted by kind and name.
 type Entry struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name,omitempty"`
@@ -28,7 +29,7 @@
 
 // Edit records one accepted change, newest last in Head.Edits.
 type Edit struct {
-	// ID is chosen by the editor; it settles a lost answer.
+	// ID is chosen by the editor; it shows whether an edit whose answer was lost took effect.
 	ID      string    `json:"id"`
 	Version uint64    `json:"version"`
 	Author  string    `json:"author,omitempty"`
@@ -37,7 +38,8 @@
 	Changes []Change  `json:"changes"`
 }
 
-// Change is one segment's part of an edit. An empty hash means absence.
+// Change is the change of one segment in an edit. An empty hash means that the segment
+// does not exist.
 type Change struct {
 	Kind   Kind   `json:"kind"`
 	Name   string `json:"name,omitempty"`
@@ -45,7 +47,7 @@
 	After  Hash   `json:"after,omitempty"`
 }
 
-// DecodeHead reads a stored head. An empty value is version 0.
+// DecodeHead decodes a stored head. An empty value is version 0.
 func DecodeHead(value []byte) (Head, error) {
 	var h Head
 	if len(value) == 0 {
@@ -61,13 +63,13 @@
 func (h Head) Encode() []byte {
 	b, err := json.Marshal(h)
 	if err != nil {
-		// Head holds nothing that JSON cannot express.
+		// Every field of Head can be encoded as JSON.
 		panic(err)
 	}
 	return b
 }
 
-// SegmentHash returns the hash of a segment in this head, or "" when it has none.
+// SegmentHash returns the hash of a segment in this head, or "" if there is none.
 func (h Head) SegmentHash(kind Kind, name string) Hash {
 	for _, e := range h.Segments {
 		if e.Kind == kind && e.Name == name {
@@ -77,7 +79,7 @@
 	return ""
 }
 
-// EditByID returns the edit with this id, if the head still holds it.
+// EditByID returns the edit with this ID, if the head still contains it.
 func (h Head) EditByID(id string) (Edit, bool) {
 	for _, e := range h.Edits {
 		if e.ID == id {
@@ -87,7 +89,7 @@
 	return Edit{}, false
 }
 
-// apply returns the head after an edit. The receiver is not changed.
+// apply returns the head after an edit and leaves the receiver unchanged.
 func (h Head) apply(edit Edit) Head {
 	next := Head{
 		Version:  h.Version + 1,
@@ -99,12 +101,12 @@
 		next.Edits = next.Edits[extra:]
 	}
 	for _, c := range edit.Changes {
-		next.Segments = withChange(next.Segments, c)
+		next.Segments = applyChange(next.Segments, c)
 	}
 	return next
 }
 
-func withChange(entries []Entry, c Change) []Entry {
+func applyChange(entries []Entry, c Change) []Entry {
 	at, found := slices.BinarySearchFunc(entries, c, func(e Entry, c Change) int {
 		return compareNames(e.Kind, e.Name, c.Kind, c.Name)
 	})
@@ -136,8 +138,8 @@
 	return 0
 }
 
-// SegmentsAt returns the segments that were in force at an earlier version, found by
-// walking the edits backwards.
+// SegmentsAt returns the segments in force at an earlier version by undoing the later
+// edits.
 func (h Head) SegmentsAt(version uint64) ([]Entry, error) {
 	if version > h.Version {
 		return nil, fmt.Errorf("%w: %d is newer than %d", ErrVersionUnknown, version, h.Version)
@@ -145,7 +147,7 @@
 	entries := slices.Clone(h.Segments)
 	for i := len(h.Edits) - 1; i >= 0 && h.Edits[i].Version > version; i-- {
 		for _, c := range slices.Backward(h.Edits[i].Changes) {
-			entries = withChange(entries, Change{Kind: c.Kind, Name: c.Name, After: c.Before})
+			entries = applyChange(entries, Change{Kind: c.Kind, Name: c.Name, After: c.Before})
 		}
 		if h.Edits[i].Version == version+1 {
 			return entries, nil
--- a/pkg/policy/key.go
+++ b/pkg/policy/key.go
@@ -17,12 +17,12 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// String returns the hash as it stands in the configuration.
+// String returns the hash in the form that the configuration uses.
 func (h KeyHash) String() string {
 	return keyHashPrefix + hex.EncodeToString(h[:])
 }
 
-// ParseKeyHash reads what String returns.
+// ParseKeyHash parses the form that String returns.
 func ParseKeyHash(text string) (KeyHash, error) {
 	var h KeyHash
 	digits, found := strings.CutPrefix(text, keyHashPrefix)
--- a/pkg/policy/load.go
+++ b/pkg/policy/load.go
@@ -8,11 +8,11 @@
 	"github.com/croftyard/croftyard/pkg/kv"
 )
 
-// Cache holds segments by hash, so that a change fetches only what changed.
+// Cache holds segments by hash, so that after an edit only changed segments are fetched.
 type Cache map[Hash]Segment
 
 // LoadSnapshot fetches the head's segments that are not in cache (which may be nil),
-// checks them as a whole and returns the snapshot. The cache then holds just
+// validates them together and returns the snapshot. The cache then holds only
 // the head's segments.
 func LoadSnapshot(ctx context.Context, store kv.Store, head Head, cache Cache) (*Snapshot, error) {
 	segments := make([]Segment, 0, len(head.Segments))
@@ -21,9 +21,9 @@
 			segments = append(segments, s)
 			continue
 		}
-		entry, err := readSettled(ctx, store, SegmentKey(e.Hash))
+		entry, err := readRetrying(ctx, store, SegmentKey(e.Hash))
 		if err != nil {
-			return nil, convert(err)
+			return nil, convertError(err)
 		}
 		s, err := ParseSegment(e.Hash, entry.Value)
 		if err != nil {
@@ -31,10 +31,10 @@
 		}
 		segments = append(segments, s)
 	}
-	return fill(head, segments, cache)
+	return resolveSnapshot(head, segments, cache)
 }
 
-func fill(head Head, segments []Segment, cache Cache) (*Snapshot, error) {
+func resolveSnapshot(head Head, segments []Segment, cache Cache) (*Snapshot, error) {
 	snapshot, err := Resolve(head.Version, segments)
 	if err != nil {
 		return nil, err
@@ -48,8 +48,8 @@
 	return snapshot, nil
 }
 
-// AssembleSnapshot builds a snapshot from a head and texts that came from a peer. Every
-// text is checked against its hash, so a peer can delay but not falsify.
+// AssembleSnapshot builds a snapshot from a head and texts from a peer. Every text is
+// checked against its hash, so a peer can delay a segment but not forge it.
 func AssembleSnapshot(head Head, texts map[Hash][]byte, cache Cache) (*Snapshot, error) {
 	segments := make([]Segment, 0, len(head.Segments))
 	for _, e := range head.Segments {
@@ -67,10 +67,10 @@
 		}
 		segments = append(segments, s)
 	}
-	return fill(head, segments, cache)
+	return resolveSnapshot(head, segments, cache)
 }
 
-// ActiveSnapshot is the snapshot in force in one process. It only moves forward.
+// ActiveSnapshot holds the snapshot in force in one process. Its version only grows.
 type ActiveSnapshot struct {
 	current atomic.Pointer[Snapshot]
 }
--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -1,14 +1,14 @@
-// Package policy holds what operators decide: templates, the parameters of
-// research groups, plain services and the fleet's own parameters, and how a
-// change of them comes into force everywhere and never goes back.
+// Package policy implements the operators' configuration: templates, the parameters
+// of research groups, plain services and the fleet's own parameters. A change comes
+// into force on every router, and no router returns to an older version.
 //
 //	segment  one INI section, immutable, stored under its hash
 //	head     {version, the hash of each segment, the last edits}, one key
-//	snapshot what a router works with: all segments of one head, resolved
+//	snapshot the configuration a router uses: all segments of one head, resolved
 //
-// An edit stores its segments and then moves the head by compare-and-swap, so
-// the head alone decides; a router adopts only larger versions. The package
-// does no I/O of its own: it works on a kv.Store.
+// An edit stores its segments and then replaces the head by compare-and-swap, so the
+// head alone decides what is in force; a router adopts only larger versions. The
+// package does no I/O of its own: it works on a kv.Store.
 package policy
 
 import (
@@ -19,15 +19,15 @@
 
 // Errors of this package.
 var (
-	// ErrInvalid: the text breaks a rule; the message names section and key.
+	// ErrInvalid: the configuration is not valid; the message names section and key.
 	ErrInvalid = errors.New("policy: not valid")
 	// ErrConflict: another edit changed the same segment since the base version.
 	ErrConflict = errors.New("policy: edit conflict")
-	// ErrUnavailable: nothing was changed; the service could not be asked.
+	// ErrUnavailable: nothing was changed; the store could not be reached.
 	ErrUnavailable = errors.New("policy: service unavailable")
-	// ErrOutcomeUnknown: the edit may or may not be in force; ask again with its id.
+	// ErrOutcomeUnknown: the edit may or may not be in force; repeat it with the same ID.
 	ErrOutcomeUnknown = errors.New("policy: outcome unknown")
-	// ErrVersionUnknown: the version asked for is no longer in the head's history.
+	// ErrVersionUnknown: the requested version is not in the head's history.
 	ErrVersionUnknown = errors.New("policy: version not known")
 )
 
@@ -42,13 +42,13 @@
 	KindService  Kind = "service"
 )
 
-// SegmentID identifies a segment: its kind and, but for the fleet, its own name.
+// SegmentID identifies a segment by its kind and, except for the fleet, a name.
 type SegmentID struct {
 	Kind Kind
 	Name string
 }
 
-// String returns the name as it stands in an INI section header.
+// String returns the text of the INI section header.
 func (n SegmentID) String() string {
 	if n.Name == "" {
 		return string(n.Kind)
@@ -63,23 +63,23 @@
 	PreviousChatKey []byte
 	// GroupSize is the number of engines in a placement group.
 	GroupSize int
-	// PrefillRate is the prompt tokens an engine computes in a second; it turns
-	// cached tokens into the time that waiting for them may cost.
+	// PrefillRate is how many prompt tokens an engine computes in a second. It converts
+	// cached tokens into the time that a request may wait for them.
 	PrefillRate float64
-	// LoadRate is the loads a second that the weight store bears; at 0, the
+	// LoadRate is how many loads a second the weight store can serve; at 0, the
 	// default, the fleet orders none.
 	LoadRate float64
-	// AdapterCopies is how many engines of a pool are to hold an adapter that
-	// some group may use there.
+	// AdapterCopies is how many engines of a pool should hold an adapter that some
+	// group may use there.
 	AdapterCopies int
 }
 
-// Parameters are what a template sets and a group may override.
+// Parameters holds the settings of a template, which a group may override.
 type Parameters struct {
 	// Share is the weight in fair queueing, above 0.
 	Share float64
-	// PriorityMin and PriorityMax bound the priorities a caller may ask for; a
-	// larger number goes first.
+	// PriorityMin and PriorityMax bound the priorities a caller may request; larger
+	// numbers go first.
 	PriorityMin int
 	PriorityMax int
 	// Models and Adapters are the names a request may use.
@@ -88,13 +88,14 @@
 	// Rate (work tokens a second) and Burst (work tokens) limit surges.
 	Rate  float64
 	Burst float64
-	// Bound is c: the multiple of the mean load no engine is to exceed.
+	// Bound is the load factor c: the multiple of the mean load no engine should exceed.
 	Bound float64
-	// Deadline is a request's time when the caller names none; MaxDeadline is
-	// the most a caller may ask for.
+	// Deadline is a request's time limit when the caller sets none; MaxDeadline is
+	// the longest a caller may request.
 	Deadline    time.Duration
 	MaxDeadline time.Duration
-	// MaxOutputTokens bounds and, where the caller sets none, estimates the answer.
+	// MaxOutputTokens bounds the length of the answer and is its estimate when the
+	// caller sets none.
 	MaxOutputTokens int
 }
 
@@ -110,10 +111,10 @@
 	Overrides []string
 }
 
-// Service is a route to a plain service.
+// Service holds the settings of a plain service.
 type Service struct {
 	Name string
-	// Repeatable tells that a call may be sent again when its outcome is unknown.
+	// Repeatable tells that a call may be repeated when its outcome is unknown.
 	Repeatable bool
 	// Timeout bounds one attempt.
 	Timeout time.Duration
@@ -124,12 +125,12 @@
 	return contains(p.Models, model)
 }
 
-// AllowsAdapter tells whether the group may use the adapter; none is always allowed.
+// AllowsAdapter tells whether the group may use the adapter; "" (none) is always allowed.
 func (p Parameters) AllowsAdapter(adapter string) bool {
 	return adapter == "" || contains(p.Adapters, adapter)
 }
 
-// Wildcard stands in a list of models or adapters for every name.
+// Wildcard in a list of models or adapters matches every name.
 const Wildcard = "*"
 
 func contains(list []string, name string) bool {
@@ -141,7 +142,7 @@
 	return false
 }
 
-// Snapshot is one version, resolved and immutable.
+// Snapshot is the resolved configuration of one version. It is immutable.
 type Snapshot struct {
 	Version  uint64
 	Fleet    Fleet
@@ -156,6 +157,6 @@
 	return s.byKey[h]
 }
 
-func invalid(name SegmentID, key, value, allowed string) error {
+func invalidValue(name SegmentID, key, value, allowed string) error {
 	return fmt.Errorf("%w: [%s] %s = %q: %s", ErrInvalid, name, key, value, allowed)
 }
--- a/pkg/policy/policy_test.go
+++ b/pkg/policy/policy_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestResolveFillsTemplates(t *testing.T) {
+func TestGroupsInheritTemplates(t *testing.T) {
 	s, err := Resolve(7, expectSegments(t, sample+"keys_note =\n"[:0]))
 	require.NoError(t, err)
 	g := s.Groups["agents"]
@@ -70,7 +70,7 @@
 	assert.EqualValues(t, 7, s.Version)
 }
 
-func TestResolveNamesEveryError(t *testing.T) {
+func TestResolveReportsEveryError(t *testing.T) {
 	bad := `
 [template a]
 share = 0
@@ -142,7 +142,7 @@
 	assert.EqualValues(t, 3, conflict.Version)
 	expect(t, 3)(Apply(ctx, store, proposal(t, "e2", 1, "[service lookup]\nrepeatable = no\n")))
 	_, err = Apply(ctx, store, Proposal{ID: "e5", Base: 3, Delete: []SegmentID{{KindTemplate, "solicitor"}}})
-	assert.ErrorContains(t, err, "no such template", "an edit that breaks the whole is refused")
+	assert.ErrorContains(t, err, "no such template", "an edit that makes the configuration invalid is refused")
 }
 
 func TestRollback(t *testing.T) {
@@ -179,12 +179,12 @@
 	assert.Nil(t, delta.Full)
 	assert.Len(t, delta.SegmentHashes(), 2)
 	assert.Equal(t, third, first.ApplyDelta(delta))
-	assert.Equal(t, third, third.ApplyDelta(first.DeltaSince(0)), "never back")
+	assert.Equal(t, third, third.ApplyDelta(first.DeltaSince(0)), "an older head is ignored")
 	assert.Equal(t, third, Head{}.ApplyDelta(third.DeltaSince(0)))
-	assert.Equal(t, first, first.ApplyDelta(third.DeltaSince(2)), "a delta from another version is left out")
+	assert.Equal(t, first, first.ApplyDelta(third.DeltaSince(2)), "a delta from another version is ignored")
 }
 
-func TestAdoptedNeverGoesBack(t *testing.T) {
+func TestAdoptOnlyNewerVersions(t *testing.T) {
 	var a ActiveSnapshot
 	assert.Nil(t, a.Current())
 	assert.True(t, a.AdoptIfNewer(&Snapshot{Version: 2}))
@@ -193,16 +193,16 @@
 	assert.EqualValues(t, 2, a.Current().Version)
 }
 
-func TestEditDuringAnOutageIsRefusedClearly(t *testing.T) {
+func TestEditDuringOutageReportsUnavailable(t *testing.T) {
 	store := faulty.New(kv.NewMemory(time.Now), 1)
 	store.Down = 1
 	_, err := Apply(ctx, store, proposal(t, "e1", 0, sample))
 	assert.ErrorIs(t, err, ErrUnavailable)
 }
 
-// TestEditsUnderFaults races editors through random faults: an edit that was
-// accepted is in the history exactly once, one refused is not there, and the
-// version is the number of edits.
+// TestEditsUnderFaults applies edits under random store faults: an accepted edit is in
+// the history exactly once, a refused one is not in it, and the version equals the
+// number of edits.
 func TestEditsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		memory := kv.NewMemory(time.Now)
--- a/pkg/policy/resolve.go
+++ b/pkg/policy/resolve.go
@@ -8,17 +8,17 @@
 	"gopkg.in/ini.v1"
 )
 
-// Defaults that hold where neither a template nor a group sets a value.
+// Defaults of values that are not set in the configuration.
 const (
 	DefaultBound       = 1.15
 	DefaultGroupSize   = 10
 	DefaultPrefillRate = 8000
-	// DefaultAdapterCopies lets one engine fail without its adapters being gone.
+	// DefaultAdapterCopies keeps every adapter available when one engine fails.
 	DefaultAdapterCopies = 2
 )
 
-// Resolve checks segments as a whole and builds the snapshot of one version:
-// templates are filled into their groups. All errors are reported together.
+// Resolve validates segments together and builds the snapshot of one version, in
+// which groups inherit the values of their templates. It reports all errors together.
 func Resolve(version uint64, segments []Segment) (*Snapshot, error) {
 	r := resolver{
 		snapshot: &Snapshot{
@@ -30,7 +30,7 @@
 		},
 		templates: make(map[string]Parameters),
 	}
-	// Templates come first, whatever the order of the segments.
+	// Add templates before the groups that refer to them, whatever the segments' order.
 	for _, kind := range []Kind{KindFleet, KindTemplate, KindGroup, KindService} {
 		for _, s := range segments {
 			if s.ID.Kind == kind {
@@ -51,12 +51,12 @@
 }
 
 func (r *resolver) add(s Segment) {
-	parsed, err := load(s.Text)
+	parsed, err := parseINI(s.Text)
 	if err != nil {
 		r.problems = append(r.problems, fmt.Errorf("%w: [%s]: %v", ErrInvalid, s.ID, err))
 		return
 	}
-	f := &fields{name: s.ID, section: parsed.Section(s.ID.String())}
+	f := &sectionReader{id: s.ID, section: parsed.Section(s.ID.String())}
 	switch s.ID.Kind {
 	case KindFleet:
 		r.addFleet(f)
@@ -71,7 +71,7 @@
 	r.problems = append(r.problems, f.problems...)
 }
 
-func (r *resolver) addFleet(f *fields) {
+func (r *resolver) addFleet(f *sectionReader) {
 	fleet := &r.snapshot.Fleet
 	f.hex("chat_key", &fleet.ChatKey)
 	f.hex("previous_chat_key", &fleet.PreviousChatKey)
@@ -81,14 +81,14 @@
 	f.integer("adapter_copies", &fleet.AdapterCopies, 1, 1000)
 }
 
-func (r *resolver) addTemplate(f *fields) {
+func (r *resolver) addTemplate(f *sectionReader) {
 	p := Defaults()
 	readParameters(f, &p)
-	r.templates[f.name.Name] = p
+	r.templates[f.id.Name] = p
 }
 
-func (r *resolver) addGroup(f *fields) {
-	g := &Group{Name: f.name.Name, Parameters: Defaults()}
+func (r *resolver) addGroup(f *sectionReader) {
+	g := &Group{Name: f.id.Name, Parameters: Defaults()}
 	f.text("template", &g.Template)
 	if g.Template != "" {
 		template, found := r.templates[g.Template]
@@ -106,7 +106,7 @@
 	r.snapshot.Groups[g.Name] = g
 }
 
-func (r *resolver) addKeys(f *fields, g *Group) {
+func (r *resolver) addKeys(f *sectionReader, g *Group) {
 	var hashes []string
 	f.list("keys", &hashes)
 	for _, text := range hashes {
@@ -124,14 +124,14 @@
 	}
 }
 
-func (r *resolver) addService(f *fields) {
-	s := &Service{Name: f.name.Name, Timeout: defaultDeadline}
+func (r *resolver) addService(f *sectionReader) {
+	s := &Service{Name: f.id.Name, Timeout: defaultDeadline}
 	f.boolean("repeatable", &s.Repeatable)
 	f.duration("timeout", &s.Timeout)
 	r.snapshot.Services[s.Name] = s
 }
 
-// Defaults returns the parameters that hold where nothing is set.
+// Defaults returns the parameters of a template or group that sets none.
 func Defaults() Parameters {
 	return Parameters{
 		Share:           1,
@@ -145,10 +145,10 @@
 	}
 }
 
-// readParameters reads the keys that templates and groups share and returns
+// readParameters reads the keys that templates and groups have in common and returns
 // those that were set.
-func readParameters(f *fields, p *Parameters) []string {
-	before := len(f.read)
+func readParameters(f *sectionReader, p *Parameters) []string {
+	before := len(f.readKeys)
 	f.float("share", &p.Share, 0.001, 1e6)
 	f.integer("priority_min", &p.PriorityMin, -100, 100)
 	f.integer("priority_max", &p.PriorityMax, -100, 100)
@@ -166,13 +166,13 @@
 	if p.Deadline > p.MaxDeadline {
 		f.reject("deadline", p.Deadline.String(), fmt.Sprintf("must not exceed max_deadline (%s)", p.MaxDeadline))
 	}
-	return slices.Clone(f.read[before:])
+	return slices.Clone(f.readKeys[before:])
 }
 
-// fields reads the keys of one section and collects what is wrong with them.
-type fields struct {
-	name     SegmentID
+// sectionReader reads the keys of one section and collects their errors.
+type sectionReader struct {
+	id       SegmentID
 	section  *ini.Section
-	read     []string
+	readKeys []string
 	problems []error
 }
--- a/pkg/policy/fields.go
+++ b/pkg/policy/section_reader.go
@@ -12,39 +12,39 @@
 const (
 	defaultDeadline    = 60 * time.Second
 	defaultMaxDeadline = 10 * time.Minute
-	// longestDeadline bounds every deadline, so that a claim's lease can outlive it.
-	longestDeadline = time.Hour
-	shortestKey     = 16
+	// maxDuration bounds every deadline, so that a claim's lease can outlive it.
+	maxDuration = time.Hour
+	minKeyBytes = 16
 )
 
-// value returns a key's text and whether it is set.
-func (f *fields) value(key string) (string, bool) {
+// value returns the trimmed text of a key and whether the key is set.
+func (f *sectionReader) value(key string) (string, bool) {
 	if !f.section.HasKey(key) {
 		return "", false
 	}
-	f.read = append(f.read, key)
+	f.readKeys = append(f.readKeys, key)
 	return strings.TrimSpace(f.section.Key(key).String()), true
 }
 
-func (f *fields) reject(key, value, allowed string) {
-	f.problems = append(f.problems, invalid(f.name, key, value, allowed))
+func (f *sectionReader) reject(key, value, allowed string) {
+	f.problems = append(f.problems, invalidValue(f.id, key, value, allowed))
 }
 
-func (f *fields) rejectUnread() {
+func (f *sectionReader) rejectUnread() {
 	for _, key := range f.section.KeyStrings() {
-		if !slices.Contains(f.read, key) {
+		if !slices.Contains(f.readKeys, key) {
 			f.reject(key, f.section.Key(key).String(), "no such key here")
 		}
 	}
 }
 
-func (f *fields) text(key string, to *string) {
+func (f *sectionReader) text(key string, to *string) {
 	if v, set := f.value(key); set {
 		*to = v
 	}
 }
 
-func (f *fields) list(key string, to *[]string) {
+func (f *sectionReader) list(key string, to *[]string) {
 	v, set := f.value(key)
 	if !set {
 		return
@@ -57,7 +57,7 @@
 	}
 }
 
-func (f *fields) integer(key string, to *int, low, high int) {
+func (f *sectionReader) integer(key string, to *int, low, high int) {
 	v, set := f.value(key)
 	if !set {
 		return
@@ -70,7 +70,7 @@
 	*to = n
 }
 
-func (f *fields) float(key string, to *float64, low, high float64) {
+func (f *sectionReader) float(key string, to *float64, low, high float64) {
 	v, set := f.value(key)
 	if !set {
 		return
@@ -83,20 +83,20 @@
 	*to = n
 }
 
-func (f *fields) duration(key string, to *time.Duration) {
+func (f *sectionReader) duration(key string, to *time.Duration) {
 	v, set := f.value(key)
 	if !set {
 		return
 	}
 	d, err := time.ParseDuration(v)
-	if err != nil || d <= 0 || d > longestDeadline {
-		f.reject(key, v, fmt.Sprintf("must be a duration above 0 and up to %s, such as 1.5s", longestDeadline))
+	if err != nil || d <= 0 || d > maxDuration {
+		f.reject(key, v, fmt.Sprintf("must be a duration above 0 and up to %s, such as 1.5s", maxDuration))
 		return
 	}
 	*to = d
 }
 
-func (f *fields) boolean(key string, to *bool) {
+func (f *sectionReader) boolean(key string, to *bool) {
 	v, set := f.value(key)
 	if !set {
 		return
@@ -111,14 +111,14 @@
 	}
 }
 
-func (f *fields) hex(key string, to *[]byte) {
+func (f *sectionReader) hex(key string, to *[]byte) {
 	v, set := f.value(key)
 	if !set {
 		return
 	}
 	b, err := hex.DecodeString(v)
-	if err != nil || len(b) < shortestKey {
-		f.reject(key, "(secret)", fmt.Sprintf("must be at least %d bytes in hexadecimal", shortestKey))
+	if err != nil || len(b) < minKeyBytes {
+		f.reject(key, "(secret)", fmt.Sprintf("must be at least %d bytes in hexadecimal", minKeyBytes))
 		return
 	}
 	*to = b
--- a/pkg/policy/segment.go
+++ b/pkg/policy/segment.go
@@ -16,7 +16,7 @@
 // hexadecimal.
 type Hash string
 
-// Segment is one INI section in canonical form: keys sorted, one blank around
+// Segment is one INI section in canonical form: sorted keys, one space on each side of
 // the equals sign, no comments. Equal content has an equal hash.
 type Segment struct {
 	ID   SegmentID
@@ -24,10 +24,10 @@
 	Hash Hash
 }
 
-// Split cuts an operators' file into its segments. All errors are reported
-// together. file is named in them.
+// Split parses an operator's file into segments. It reports all errors together; file
+// is the file name used in them.
 func Split(file string, text []byte) ([]Segment, error) {
-	parsed, err := load(text)
+	parsed, err := parseINI(text)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: %v", ErrInvalid, file, err)
 	}
@@ -50,7 +50,7 @@
 	return segments, errors.Join(problems...)
 }
 
-// ParseSegment reads a stored segment and checks it against its hash.
+// ParseSegment parses a stored segment and checks it against its hash.
 func ParseSegment(hash Hash, text []byte) (Segment, error) {
 	segments, err := Split(string(hash), text)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return segments[0], nil
 }
 
-func load(text []byte) (*ini.File, error) {
+func parseINI(text []byte) (*ini.File, error) {
 	options := ini.LoadOptions{
 		AllowNonUniqueSections:  false,
 		AllowShadows:            true,
@@ -73,7 +73,7 @@
 }
 
 func newSegment(section *ini.Section) (Segment, error) {
-	name, err := parseName(section.Name())
+	name, err := parseSegmentID(section.Name())
 	if err != nil {
 		return Segment{}, err
 	}
@@ -85,22 +85,22 @@
 	for _, key := range keys {
 		values := section.Key(key).ValueWithShadows()
 		if len(values) > 1 {
-			problems = append(problems, invalid(name, key, strings.Join(values, " and "), "stands twice in one section"))
+			problems = append(problems, invalidValue(name, key, strings.Join(values, " and "), "stands twice in one section"))
 			continue
 		}
 		fmt.Fprintf(&b, "%s = %s\n", key, section.Key(key).String())
 	}
 	text := b.Bytes()
-	if len(problems) == 0 && !sameWhenRead(name, text, section) {
+	if len(problems) == 0 && !roundTrips(name, text, section) {
 		problems = append(problems, fmt.Errorf("%w: section [%s]: a key or value holds quotes, # or ; that INI cannot keep", ErrInvalid, name))
 	}
 	return Segment{ID: name, Text: text, Hash: hashText(text)}, errors.Join(problems...)
 }
 
-// sameWhenRead tells whether the canonical text reads back as the section it
-// was made from. INI has no escapes, so some values do not.
-func sameWhenRead(name SegmentID, text []byte, section *ini.Section) bool {
-	parsed, err := load(text)
+// roundTrips tells whether parsing the canonical text gives the original section. INI
+// has no escapes, so some values change.
+func roundTrips(name SegmentID, text []byte, section *ini.Section) bool {
+	parsed, err := parseINI(text)
 	if err != nil || len(parsed.Sections()) != len([]string{ini.DefaultSection, name.String()}) {
 		return false
 	}
@@ -116,7 +116,7 @@
 	return true
 }
 
-func parseName(section string) (SegmentID, error) {
+func parseSegmentID(section string) (SegmentID, error) {
 	kind, own, _ := strings.Cut(section, " ")
 	name := SegmentID{Kind: Kind(kind), Name: strings.TrimSpace(own)}
 	switch name.Kind {
@@ -125,7 +125,7 @@
 			return name, fmt.Errorf("%w: section [%s]: fleet takes no name", ErrInvalid, section)
 		}
 	case KindTemplate, KindGroup, KindService:
-		if !nameAllowed(name.Name) {
+		if !isValidName(name.Name) {
 			return name, fmt.Errorf("%w: section [%s]: a name of 1 to 64 of a-z, 0-9, . _ - must follow %s", ErrInvalid, section, kind)
 		}
 	default:
@@ -134,7 +134,7 @@
 	return name, nil
 }
 
-func nameAllowed(name string) bool {
+func isValidName(name string) bool {
 	const maxName = 64
 	if name == "" || len(name) > maxName {
 		return false
@@ -147,7 +147,7 @@
 }
 
 func hashText(text []byte) Hash {
-	const kept = 16
+	const hashBytes = 16
 	sum := sha256.Sum256(text)
-	return Hash(hex.EncodeToString(sum[:kept]))
+	return Hash(hex.EncodeToString(sum[:hashBytes]))
 }
