--- a/pkg/freshness/freshness.go
+++ b/pkg/freshness/freshness.go
@@ -1,13 +1,13 @@
-// Package freshness keeps the newest configuration that a router knows together
-// with the proof of how new it is.
+// Package freshness keeps the newest configuration that a router knows and the proof
+// of how recent it is.
 //
-// A proof is the steady time at which a read was sent that was answered by the
-// newest state there was: whatever was accepted before that time is known. A
-// watch proves nothing, since it may be silent, and neither does a stale read. Nor does
-// a read of a copy that came in the place of what was lost, until the operator has
-// written again what was accepted and is not in it.
-// Proofs cross routers as ages, so that no two clocks are compared: the asker's
-// proof dates from the time it asked, less the age that it was told.
+// A proof is the monotonic time at which a read was sent that returned the newest
+// state: the router knows every change accepted before that time. A watch proves
+// nothing, since it may be silent, and neither does a stale read. Nor does a read of a
+// backup that replaced a lost store, until the operator has written again the accepted
+// changes that the backup lacks.
+// Routers exchange proofs as ages, so that clocks are never compared: the asking
+// router's proof dates from when it asked, less the age in the answer.
 package freshness
 
 import (
@@ -18,28 +18,29 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-// State is what is known at one moment. It is immutable.
+// State is a configuration with its proof. It is immutable.
 type State struct {
 	// Table is nil before the first configuration.
 	Table *route.Table
-	// ProvenAt is the steady time at which Table was the newest.
+	// ProvenAt is the latest monotonic time at which Table is proven to be the newest.
 	ProvenAt time.Time
-	// LastReadAt is when a read was sent last that found nothing newer, which may prove nothing.
+	// LastReadAt is when the last read that found nothing newer was sent, whether or not
+	// that read proves anything.
 	LastReadAt time.Time
 }
 
-// ProofAge returns how old the proof is.
+// ProofAge returns the age of the proof.
 func (s *State) ProofAge(now time.Time) time.Duration { return now.Sub(s.ProvenAt) }
 
 // Holder holds the newest state. It is safe for concurrent use.
 type Holder struct {
 	mu    sync.Mutex
 	state atomic.Pointer[State]
-	// doubted is until when reads must have been sent that prove nothing.
-	doubted time.Time
+	// distrustedUntil is the time before which reads that were sent prove nothing.
+	distrustedUntil time.Time
 }
 
-// NewHolder returns a holder that knows nothing.
+// NewHolder returns a holder without a configuration.
 func NewHolder() *Holder {
 	h := &Holder{}
 	h.state.Store(&State{})
@@ -50,8 +51,8 @@
 func (h *Holder) Current() *State { return h.state.Load() }
 
 // Update takes a table with its proof and tells whether the table is newer than
-// the one held. An older version changes nothing: what it proves is that its
-// sender was behind.
+// the one held. An older version changes nothing: it only proves that its sender
+// was behind.
 func (h *Holder) Update(table *route.Table, proven time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,41 +60,42 @@
 	if old.Table == nil || table.Version() > old.Table.Version() {
 		// A proof for an older version says nothing of this one's age, so the
 		// new version's own proof counts.
-		h.state.Store(h.after(old, table, proven))
+		h.state.Store(h.afterRead(old, table, proven))
 		return true
 	}
 	if table.Version() == old.Table.Version() {
-		h.state.Store(h.after(old, old.Table, proven))
+		h.state.Store(h.afterRead(old, old.Table, proven))
 	}
 	return false
 }
 
-// after returns the state after a read that was sent at a time and found a table. h.mu is
-// held.
-func (h *Holder) after(old *State, table *route.Table, sent time.Time) *State {
+// afterRead returns the state after a read that was sent at a time and returned a table.
+// The caller holds h.mu.
+func (h *Holder) afterRead(old *State, table *route.Table, sent time.Time) *State {
 	s := &State{Table: table, ProvenAt: old.ProvenAt, LastReadAt: later(old.LastReadAt, sent)}
-	if !sent.Before(h.doubted) {
+	if !sent.Before(h.distrustedUntil) {
 		s.ProvenAt = later(old.ProvenAt, sent)
 	}
 	return s
 }
 
-// DistrustReadsBefore has reads prove nothing that are sent before a time: what was accepted may be
-// lost, and is written again until then.
+// DistrustReadsBefore makes reads sent before a time prove nothing: accepted changes may
+// be lost, and the operator writes them again until then.
 func (h *Holder) DistrustReadsBefore(until time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.doubted = later(h.doubted, until)
+	h.distrustedUntil = later(h.distrustedUntil, until)
 }
 
-// DistrustsRead tells whether a read that is sent at a time would prove nothing.
+// DistrustsRead tells whether a read sent at a time would prove nothing.
 func (h *Holder) DistrustsRead(sent time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return sent.Before(h.doubted)
+	return sent.Before(h.distrustedUntil)
 }
 
-// ConfirmVersion notes that the version held was still the newest at a time.
+// ConfirmVersion records that the version held was still the newest at a time. It
+// returns false for any other version.
 func (h *Holder) ConfirmVersion(version uint64, proven time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,7 +103,7 @@
 	if old.Table == nil || old.Table.Version() != version {
 		return false
 	}
-	h.state.Store(h.after(old, old.Table, proven))
+	h.state.Store(h.afterRead(old, old.Table, proven))
 	return true
 }
 
