--- a/pkg/poison/poison.go
+++ b/pkg/poison/poison.go
@@ -222,8 +222,8 @@
 	}
 }
 
-// shareAnswer queues this router's own recent answer for the other routers when it clears
-// marks of the same request. The caller holds m.mu.
+// shareAnswer queues this router's own recent answer to a request for the other routers
+// when a crash mark of the request arrives. The caller holds m.mu.
 func (m *Tracker) shareAnswer(mark Mark, now time.Time) bool {
 	at, proven := m.answered.Peek(mark.Digest)
 	if mark.Served || !proven || now.Sub(at) > answeredWindow || !m.find(mark.Digest).addAnswer(at) {
--- a/pkg/poison/poison_test.go
+++ b/pkg/poison/poison_test.go
@@ -17,7 +17,7 @@
 
 func at(s float64) time.Time { return begin.Add(time.Duration(s * float64(time.Second))) }
 
-// step is a crash of a replica, or a whole answer for replica 0.
+// step is a crash of a replica, or a full answer if replica is 0.
 type step struct {
 	replica uint32
 	at      float64
