--- a/internal/front/admit.go
+++ b/internal/front/admit.go
@@ -9,9 +9,9 @@
 	"github.com/croftyard/croftyard/pkg/freshness"
 )
 
-// admit finds the route and the organisation of the request in the newest
-// configuration, or says why there are none. What is not found is looked up
-// again once the configuration is proven to be new.
+// admit looks up the request's route and organisation in the newest configuration and
+// returns a refusal if either is missing. A failed lookup is repeated once the
+// configuration is confirmed to be current.
 func (c *call) admit(ctx context.Context) *refusal {
 	state := c.initialState(ctx)
 	if state.Table == nil {
@@ -33,7 +33,7 @@
 	return c.resolve(c.front.holder.Current())
 }
 
-// headerBytes returns the size of a request's head as it is sent.
+// headerBytes returns the size of the request line and header fields on the wire.
 func headerBytes(r *http.Request) int {
 	const line, field = len("  HTTP/1.1\r\n"), len(": \r\n")
 	size := len(r.Method) + len(r.RequestURI) + line + len("Host") + len(r.Host) + field
@@ -45,19 +45,20 @@
 	return size
 }
 
-// checkProof refuses a request with a key whose revocation might be unknown.
+// checkProof refuses a request whose key may have been revoked since the configuration was
+// last confirmed.
 func (c *call) checkProof(ctx context.Context, state *freshness.State) *refusal {
 	if c.organisation == nil || state.ProofAge(steady.Now()) < c.front.limits.Load().MaxKeyProofAge {
 		return nil
 	}
-	// Any proof that is young enough will do; one that is asked for now is.
+	// Any recent enough confirmation will do; one requested now always is.
 	if !c.waitFresh(ctx, steady.Now().Add(-c.front.limits.Load().MaxAbsenceProofAge)) {
 		return refuseStale("proof too old for keys")
 	}
 	return c.resolve(c.front.holder.Current())
 }
 
-// resolve looks the request up in one state.
+// resolve looks up the request's route, service and organisation in state.
 func (c *call) resolve(state *freshness.State) *refusal {
 	c.version = state.Table.Version()
 	path := c.request.URL.EscapedPath()
--- a/internal/front/admit_test.go
+++ b/internal/front/admit_test.go
@@ -20,7 +20,7 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-func TestUnknownRoutesAndKeysAreDeniedOnFreshProofOnly(t *testing.T) {
+func TestUnknownRouteOrKeyDeniedOnlyWhenFresh(t *testing.T) {
 	cases := []struct {
 		name, path, key string
 		stale           bool
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestAnOldProofIsRenewedBeforeARequestIsDenied(t *testing.T) {
+func TestStaleProofRefreshedBeforeDenial(t *testing.T) {
 	address, _ := replica(t, func(http.ResponseWriter, *http.Request) {})
 	r := newRig(t, address)
 	r.front.SetLimits(Limits{MaxKeyProofAge: time.Nanosecond, MaxAbsenceProofAge: time.Minute, RetryBurst: 1})
@@ -66,7 +66,7 @@
 	assert.Equal(t, http.StatusOK, response.StatusCode)
 }
 
-func TestTooLargeABodyIsNotSent(t *testing.T) {
+func TestOversizedBodyNotSent(t *testing.T) {
 	address, arrivals := replica(t, func(http.ResponseWriter, *http.Request) {})
 	r := newRig(t, address)
 	response, _, err := r.send(t, "POST", "/once/", strings.Repeat("x", 1<<20+1))
@@ -75,7 +75,7 @@
 	assert.Zero(t, arrivals.Load())
 }
 
-func TestAKeyThatIsTakenAwayWhileTheBodyComesIsRefused(t *testing.T) {
+func TestKeyRevokedDuringBodyRefused(t *testing.T) {
 	address, arrivals := replica(t, func(http.ResponseWriter, *http.Request) {})
 	r := newRig(t, address)
 	reader, writer := io.Pipe()
@@ -101,9 +101,9 @@
 	assert.Zero(t, arrivals.Load())
 }
 
-// A refusal once waited 0.4 s for a proof although the source was known to be
-// lost (incident inc-6f35 of kavango-lockside).
-func TestWhileTheSourceIsLostNobodyWaitsForAProof(t *testing.T) {
+// Guards against a refusal that waits for a read of the configuration, 0.4 s, although the
+// source is known to be failing.
+func TestNoWaitForProofWhileSourceFails(t *testing.T) {
 	r := newRig(t)
 	r.source.mu.Lock()
 	r.source.err = errors.New("down")
@@ -121,7 +121,7 @@
 	assert.Equal(t, before, after)
 }
 
-func TestTooLargeAHeaderIsNotSent(t *testing.T) {
+func TestOversizedHeaderNotSent(t *testing.T) {
 	address, arrivals := replica(t, func(http.ResponseWriter, *http.Request) {})
 	r := newRig(t, address)
 	response, _, err := r.send(t, "POST", "/once/", "", "X-Long", strings.Repeat("x", 20000))
@@ -133,9 +133,9 @@
 	assert.EqualValues(t, 1, arrivals.Load())
 }
 
-// After a stop of all routers 490 callers of one day were refused for good: told to
-// come back after 50 ms, they found no configuration again, and repeat once only.
-func TestARequestThatComesBeforeTheFirstConfiguration(t *testing.T) {
+// Guards against a Retry-After that ends before the first configuration is there: after a
+// start of all routers, callers that retried once after 50 ms were refused for good.
+func TestRequestBeforeFirstConfiguration(t *testing.T) {
 	address, _ := replica(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	r := newRig(t, address)
 	start := func() *Front {
@@ -163,8 +163,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go soon.watcher.Run(ctx)
-	// The watcher's own first read is an hour away, so that only a request that
-	// asks for it gets one. A busy machine may need more than one wait.
+	// The watcher's own first read is an hour away, so only a request triggers one. A busy
+	// machine may need more than one wait.
 	served := false
 	for range 100 {
 		served = served || send(soon).Code != http.StatusServiceUnavailable
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -17,13 +17,13 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// connectionHeaders pertain to one connection and are never passed on.
+// connectionHeaders are hop-by-hop headers and are never forwarded.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// forwardedHeader returns a copy of a header without what pertains to one connection.
+// forwardedHeader returns a copy of a header without its hop-by-hop fields.
 func forwardedHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, value := range h["Connection"] {
@@ -37,10 +37,10 @@
 	return out
 }
 
-// drain reads a short answer to its end, so that its connection can be kept.
-func drain(answer *upstream.Answer) {
+// drainBody reads a short answer to its end so that its connection can be reused.
+func drainBody(answer *upstream.Answer) {
 	const most = 64 << 10
-	// An answer that does not end closes its connection.
+	// If the answer is longer, its connection is closed instead.
 	_, _ = io.CopyN(io.Discard, answer, most)
 }
 
@@ -49,7 +49,7 @@
 	resumable := c.route.Resumable && !c.front.options.Without.Has(mechanism.Resume) && answer.StatusCode == http.StatusOK
 	if c.begun && !isEventStream(answer.Response) {
 		c.outcome.reason = "replica does not resume"
-		drain(answer)
+		drainBody(answer)
 		return c.retry(c.outcome.reason)
 	}
 	if c.begun {
@@ -73,8 +73,8 @@
 	return c.handleBrokenAnswer(ctx, choice, err, resumable)
 }
 
-// observePace reports to the balancer how fast an engine generated a stream. The first event
-// depends on the prompt; those after it on the engine.
+// observePace reports to the balancer how fast an engine generated a stream. The time to the
+// first event depends on the prompt, so only the events after it count.
 func (c *call) observePace(id string) {
 	const enough = 4
 	if c.service.Engine != nil && c.chunks >= enough {
@@ -103,7 +103,7 @@
 	c.firstByte = steady.Now()
 }
 
-// How calls end.
+// Outcomes of a call, as logged and counted.
 const (
 	outcomeServed  = "served"
 	outcomeRefused = "refused"
@@ -114,7 +114,7 @@
 
 var errCallerGone = errors.New("front: caller gone")
 
-// forwardBody forwards a body as it arrives.
+// forwardBody copies the body to the caller and flushes each piece as it arrives.
 func (c *call) forwardBody(answer *upstream.Answer) error {
 	const size = 16 << 10
 	buffer := make([]byte, size)
@@ -145,11 +145,11 @@
 	return nil
 }
 
-// handleBrokenAnswer handles an answer that ended early.
+// handleBrokenAnswer decides how to go on after an answer ended early.
 func (c *call) handleBrokenAnswer(ctx context.Context, choice balance.Choice, err error, resumable bool) attemptResult {
 	switch {
 	case errors.Is(err, errCallerGone), c.request.Context().Err() != nil:
-		c.callerGone()
+		c.abortCallerGone()
 		return attemptFinished
 	case errors.Is(context.Cause(ctx), errSilent):
 		c.outcome.reason = "stream fell silent"
@@ -167,24 +167,24 @@
 	return attemptGiveUp
 }
 
-// callerGone ends a call whose caller left. The connection to the replica is
-// closed on the way out, which stops the work, and the caller's as well: one that
-// closed its sending side only must not take what it has for a whole answer.
-func (c *call) callerGone() {
+// abortCallerGone ends a call whose caller disconnected. Returning closes the connection to
+// the replica, which stops its work. The caller's connection is aborted as well: a caller
+// that closed only its sending side must not take a partial answer for a complete one.
+func (c *call) abortCallerGone() {
 	c.setOutcome(outcomeGone, 0, c.outcome.reason)
 	panic(http.ErrAbortHandler)
 }
 
-// giveUp tells the caller that there will be no answer, at once. Only what
-// cannot have run is refused with a promise.
+// giveUp tells the caller at once that there will be no answer. Only a request that cannot
+// have run is answered with the promise that it has not.
 func (c *call) giveUp(r *refusal) {
 	if c.request.Context().Err() != nil {
-		c.callerGone()
+		c.abortCallerGone()
 		return
 	}
 	if c.begun {
 		c.setOutcome(outcomeCut, 0, r.reason)
-		// The answer must not look complete.
+		// Aborting the connection keeps the answer from looking complete.
 		panic(http.ErrAbortHandler)
 	}
 	if c.mayHaveRun {
@@ -197,7 +197,7 @@
 	c.refuse(r)
 }
 
-// refuse writes an answer of the router's own.
+// refuse answers the request with an error generated by the router.
 func (c *call) refuse(r *refusal) {
 	header := c.writer.Header()
 	if r.retryAfter > 0 {
@@ -220,15 +220,15 @@
 	c.outcome.name, c.outcome.status, c.outcome.reason = name, status, reason
 }
 
-// sampleEvery is how many requests that were served in time share one line.
-const sampleEvery = 64
+// sampleInterval is how many requests served in time share one log line.
+const sampleInterval = 64
 
-// recordEnd counts and logs the call's end. A request that was refused, failed,
-// repeated or late always has its line; the others are sampled.
+// recordEnd counts and logs the call's outcome. Requests that were refused, failed, retried
+// or late are always logged; the others are sampled.
 func (c *call) recordEnd() {
 	f := c.front
 	took := steady.Since(c.arrival)
-	f.metrics.RecordRequest(c.name(), c.outcome.name, took, c.firstByte.Sub(c.arrival), !c.firstByte.IsZero())
+	f.metrics.RecordRequest(c.routeName(), c.outcome.name, took, c.firstByte.Sub(c.arrival), !c.firstByte.IsZero())
 	if c.exclusive {
 		f.poison.EndRun(c.digest())
 	}
@@ -240,21 +240,21 @@
 	if c.named != nil {
 		digest = c.named.String()
 	}
-	f.log.Write(id, event.F("request", c.id), event.F("digest", digest), event.F("route", c.name()), event.F("outcome", c.outcome.name), event.F("status", c.outcome.status),
+	f.log.Write(id, event.F("request", c.id), event.F("digest", digest), event.F("route", c.routeName()), event.F("outcome", c.outcome.name), event.F("status", c.outcome.status),
 		event.F("reason", c.outcome.reason), event.F("replica", c.outcome.replica), event.F("sent", c.sent.Load()),
 		event.F("may_have_run", c.mayHaveRun), event.F("first_byte_ms", c.firstByteTime().Milliseconds()), event.F("took_ms", took.Milliseconds()),
 		event.F("version", c.version), event.F("proof_ms", f.watcher.Staleness(steady.Now()).Milliseconds()))
 }
 
-// name is that of the route, if one was found.
-func (c *call) name() string {
+// routeName returns the routeName of the route, or "" if none was found.
+func (c *call) routeName() string {
 	if c.route == nil {
 		return ""
 	}
 	return c.route.Name
 }
 
-// firstByteTime is the time to the first byte of the answer, or 0 without one.
+// firstByteTime returns the time to the first byte of the answer, or 0 without one.
 func (c *call) firstByteTime() time.Duration {
 	if c.firstByte.IsZero() {
 		return 0
@@ -275,5 +275,5 @@
 	if late || c.sent.Load() > 1 || c.outcome.status >= http.StatusBadRequest {
 		return event.RequestLate, true
 	}
-	return event.RequestSampled, c.front.served.Add(1)%sampleEvery == 0
+	return event.RequestSampled, c.front.served.Add(1)%sampleInterval == 0
 }
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -32,7 +32,7 @@
 func (c *call) dispatch(ctx context.Context) {
 	for {
 		if c.callerLeft() {
-			c.callerGone()
+			c.abortCallerGone()
 			return
 		}
 		c.waitForProbe(ctx)
@@ -172,7 +172,7 @@
 	id := choice.Replica.ID
 	c.outcome.reason = "no answer: " + err.Error()
 	if errors.Is(err, errCallerGone) {
-		c.callerGone()
+		c.abortCallerGone()
 		return attemptFinished
 	}
 	if errors.Is(err, errNotAllowed) {
@@ -189,7 +189,7 @@
 	c.sent.Add(1)
 	c.mayHaveRun = true
 	if c.request.Context().Err() != nil {
-		c.callerGone()
+		c.abortCallerGone()
 		return attemptFinished
 	}
 	hung := errors.Is(context.Cause(ctx), errSilent)
--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -19,7 +19,7 @@
 		c.front.balancer.LoadReported(id, load, steady.Now())
 	}
 	if answer.Header.Get(d.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest {
-		drain(answer)
+		drainBody(answer)
 		c.outcome.reason = "not taken: " + strconv.Itoa(answer.StatusCode)
 		c.front.reportFailure(c.id, id, rejectionKind(answer.StatusCode))
 		return c.retry(c.outcome.reason)
@@ -47,12 +47,12 @@
 	c.outcome.reason = "replica's error " + strconv.Itoa(answer.StatusCode)
 	if c.begun {
 		c.front.reportFailure(c.id, choice.Replica.ID, balance.Errored)
-		drain(answer)
+		drainBody(answer)
 		return c.retry(c.outcome.reason)
 	}
 	if !c.route.RunsOnce() && steady.Until(c.end) > c.route.Target/2 && c.retry(c.outcome.reason) == attemptRetry {
 		c.failedReplicas = append(c.failedReplicas, choice.Replica.ID)
-		drain(answer)
+		drainBody(answer)
 		return attemptRetry
 	}
 	if len(c.failedReplicas) == 0 {
@@ -60,7 +60,7 @@
 	}
 	if impliesNotRun(answer.StatusCode) {
 		// Without the mark of not having run, its promise may not be passed on.
-		drain(answer)
+		drainBody(answer)
 		return attemptGiveUp
 	}
 	return c.forward(ctx, cancel, choice, answer)
