--- a/internal/front/admit.go
+++ b/internal/front/admit.go
@@ -70,7 +70,7 @@
 		return &refusal{status: http.StatusNotFound, reason: "no route"}
 	}
 	c.route = found
-	c.service = state.Table.Service(found.Service(c.draw))
+	c.service = state.Table.Service(found.Service(c.shareDraw))
 	if c.service == nil {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "service not configured", retryAfter: c.front.untilNextRead()}
 	}
@@ -81,6 +81,6 @@
 			return &refusal{status: http.StatusUnauthorized, reason: "unknown key"}
 		}
 	}
-	c.setEnd()
+	c.setDeadline()
 	return nil
 }
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -47,12 +47,12 @@
 // forward sends a replica's answer to the caller.
 func (c *call) forward(ctx context.Context, cancel context.CancelCauseFunc, choice balance.Choice, answer *upstream.Answer) attemptResult {
 	resumable := c.route.Resumable && !c.front.options.Without.Has(mechanism.Resume) && answer.StatusCode == http.StatusOK
-	if c.begun && !isEventStream(answer.Response) {
+	if c.headSent && !isEventStream(answer.Response) {
 		c.outcome.reason = "replica does not resume"
 		drainBody(answer)
 		return c.retry(c.outcome.reason)
 	}
-	if c.begun {
+	if c.headSent {
 		c.front.log.Write(event.StreamResumed, event.F("request", c.id), event.F("replica", choice.Replica.ID), event.F("after_event", c.lastEvent))
 	} else {
 		c.forwardHead(answer, resumable)
@@ -99,7 +99,7 @@
 	}
 	c.front.announceClose(c.writer)
 	c.writer.WriteHeader(answer.StatusCode)
-	c.begun = true
+	c.headSent = true
 	c.firstByte = steady.Now()
 }
 
@@ -161,7 +161,7 @@
 	}
 	c.outcome.reason = "answer broken off: " + err.Error()
 	c.noteBroken(choice)
-	if resumable && steady.Until(c.end) > 0 {
+	if resumable && steady.Until(c.deadline) > 0 {
 		return c.retry("stream broken off")
 	}
 	return attemptGiveUp
@@ -182,14 +182,14 @@
 		c.abortCallerGone()
 		return
 	}
-	if c.begun {
+	if c.headSent {
 		c.setOutcome(outcomeCut, 0, r.reason)
 		// Aborting the connection keeps the answer from looking complete.
 		panic(http.ErrAbortHandler)
 	}
 	if c.mayHaveRun {
 		status := http.StatusBadGateway
-		if !steady.Now().Before(c.end) {
+		if !steady.Now().Before(c.deadline) {
 			status = http.StatusGatewayTimeout
 		}
 		r = &refusal{status: status, reason: r.reason}
@@ -237,8 +237,8 @@
 		return
 	}
 	digest := ""
-	if c.named != nil {
-		digest = c.named.String()
+	if c.cachedDigest != nil {
+		digest = c.cachedDigest.String()
 	}
 	f.log.Write(id, event.F("request", c.id), event.F("digest", digest), event.F("route", c.routeName()), event.F("outcome", c.outcome.name), event.F("status", c.outcome.status),
 		event.F("reason", c.outcome.reason), event.F("replica", c.outcome.replica), event.F("sent", c.sent.Load()),
--- a/internal/front/broken.go
+++ b/internal/front/broken.go
@@ -9,31 +9,31 @@
 	"github.com/croftyard/croftyard/pkg/poison"
 )
 
-// brokenOff is a request that a replica broke off.
+// brokenRequest is a request whose answer ended early at a replica.
 type brokenRequest struct {
 	digest poison.Digest
 	at     time.Time
 	state  upstream.ProcessState
-	// life is which of the replica's lives it was sent to.
+	// incarnation identifies the replica's process that had the request.
 	incarnation string
 	fields      []event.Field
 }
 
-// breaks keeps requests that were broken off while it was not seen that their replica
-// ended: it may be back already, or something that stands before it takes connections
-// still. What it says of its start, or that its entry goes, tells later.
+// brokenRequests keeps broken requests whose replica was not seen to have ended: it may
+// already run again, or a proxy in front of it may still accept connections. A later report
+// of the replica's start, or the removal of its entry, shows whether it crashed.
 type brokenRequests struct {
 	mu   sync.Mutex
 	kept map[string][]brokenRequest
 }
 
 const (
-	// brokenKept is how long after a break a restart, or the end of the replica's entry,
-	// tells that the replica had crashed: its entry goes after three heartbeats, a replica is
+	// brokenTTL is how long after a broken request a restart of the replica, or the removal
+	// of its entry, counts as a crash: an entry expires after three heartbeats, a replica is
 	// back after some seconds, and the list may be read late.
-	brokenKept = 8 * time.Second
-	// maxBrokenKept bounds what is kept of one replica.
-	maxBrokenKept = 64
+	brokenTTL = 8 * time.Second
+	// maxBrokenPerReplica bounds how many requests are kept for one replica.
+	maxBrokenPerReplica = 64
 )
 
 func (b *brokenRequests) note(id string, one brokenRequest, now time.Time) {
@@ -43,22 +43,22 @@
 		b.kept = make(map[string][]brokenRequest)
 	}
 	for other, list := range b.kept {
-		if now.Sub(list[len(list)-1].at) > brokenKept {
+		if now.Sub(list[len(list)-1].at) > brokenTTL {
 			delete(b.kept, other)
 		}
 	}
-	if len(b.kept[id]) < maxBrokenKept {
+	if len(b.kept[id]) < maxBrokenPerReplica {
 		b.kept[id] = append(b.kept[id], one)
 	}
 }
 
-// take returns the requests that a replica broke off recently, which are then forgotten.
+// take removes a replica's broken requests and returns the recent ones.
 func (b *brokenRequests) take(id string, now time.Time) []brokenRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var recent []brokenRequest
 	for _, one := range b.kept[id] {
-		if now.Sub(one.at) <= brokenKept {
+		if now.Sub(one.at) <= brokenTTL {
 			recent = append(recent, one)
 		}
 	}
@@ -66,8 +66,8 @@
 	return recent
 }
 
-// ReplicaRestarted notes that a replica started again under its id: what it broke off recently it
-// crashed under, and its earlier statements end.
+// ReplicaRestarted records that a replica started again under its id. The requests that it
+// recently broke off count as crashes, and its earlier statements no longer hold.
 func (f *Front) ReplicaRestarted(id string, now time.Time) {
 	f.watcher.Statements().MarkRestarted(id, now)
 	for _, b := range f.broken.take(id, now) {
@@ -75,8 +75,9 @@
 	}
 }
 
-// ReplicaRemoved notes that a replica is listed no more. One that was there after it broke a
-// request off has left, and behind a cut entries lapse too.
+// ReplicaRemoved records that a replica is no longer listed. Only one that rejected
+// connections after a broken request counts as crashed: a replica that still listened has
+// left, and behind a network partition entries expire too.
 func (f *Front) ReplicaRemoved(id string, now time.Time) {
 	for _, b := range f.broken.take(id, now) {
 		if b.state == upstream.Rejecting {
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -25,88 +25,88 @@
 	request *http.Request
 	id      string
 	arrival time.Time
-	// end is when the caller's time or the route's is over.
-	end time.Time
-	// parts of the prompt, and the whole body.
+	// deadline is the earlier of the caller's and the route's.
+	deadline time.Time
+	// parts are those of the prompt; body is the complete body.
 	parts []balance.Part
 	body  []byte
-	// draw decides between the shares of a route, the same for each attempt.
-	draw float64
+	// shareDraw selects among the shares of a route, the same one for each attempt.
+	shareDraw float64
 
-	// version of the configuration that the request was last looked up in.
+	// version is that of the configuration in which the request was last looked up.
 	version      uint64
 	route        *route.Route
 	service      *route.Service
 	organisation *route.Organisation
 
-	// sent counts the replicas that the request was sent to, tried names them
-	// and those that could not be reached.
+	// sent counts the replicas that the request was sent to. tried lists them and those
+	// that could not be reached.
 	sent  atomic.Int32
 	tried []string
-	// waiting: a replica was asked and its head has not come. It is not yet
-	// counted as sent. Timers read it.
+	// waiting is set while an attempt has no response head. That attempt is not yet counted
+	// in sent. Timers read it concurrently.
 	waiting atomic.Bool
-	// reserved: a retry was taken from the budget and not yet made.
+	// reserved is set while a retry has been taken from the budget but not yet made.
 	reserved atomic.Bool
-	// failedReplicas are the replicas that answered with an error of their own and
-	// are not yet blamed for it.
+	// failedReplicas answered with an error of their own that was not yet reported to the
+	// balancer.
 	failedReplicas []string
-	// sentAt is when it was last sent to a replica.
+	// sentAt is when the last attempt started.
 	sentAt time.Time
-	// named is the digest of the request, once it was asked for.
-	named *poison.Digest
-	// probed is closed when it is known whether the replica that broke it off has ended.
+	// cachedDigest is the digest of the request, computed on first use.
+	cachedDigest *poison.Digest
+	// probed is closed once the replica that broke the request off has been probed.
 	probed <-chan struct{}
-	// exclusive: no other try of it is sent by this router meanwhile. trial: it was held
-	// before.
+	// exclusive is set while this router runs no other copy of the request, trial if the
+	// request was held before.
 	exclusive, trial bool
-	// unwritten counts how often it was not written once connected.
+	// unwritten counts the attempts that were cancelled between connect and write.
 	unwritten int
-	// excluded are the replicas that got nothing when one was last chosen.
+	// excluded are the replicas that were ineligible at the last choice.
 	excluded []directory.Exclusion
-	// lastResort: the replica chosen may have it only since its service has no other.
+	// lastResort is set if the chosen replica is used only because its service has no other.
 	lastResort bool
-	// mayHaveRun: a replica may have begun to work on it.
+	// mayHaveRun is set once a replica may have begun to process the request.
 	mayHaveRun bool
-	// begun: the head of an answer went out.
-	begun bool
-	// lastEvent is the id of the last whole event that was passed on.
+	// headSent is set once a response head was sent to the caller.
+	headSent bool
+	// lastEvent is the id of the last complete event that was forwarded.
 	lastEvent string
-	// chunks counts the writes to the caller.
+	// chunks counts the writes of the body to the caller.
 	chunks    int
 	firstByte time.Time
 	outcome   outcome
 }
 
-// outcome is how a call ended, for logs and metrics.
+// outcome describes how a call ended, for logs and metrics.
 type outcome struct {
 	name   string
 	status int
 	reason string
-	// replica is where it was sent last.
+	// replica is the id of the replica that was tried last.
 	replica string
 }
 
 func newCall(f *Front, w http.ResponseWriter, r *http.Request, now time.Time) *call {
 	return &call{
-		front:   f,
-		writer:  w,
-		request: r,
-		id:      r.Header.Get(f.options.Dialect.AttemptID),
-		arrival: now,
-		draw:    rand.Float64(),
+		front:     f,
+		writer:    w,
+		request:   r,
+		id:        r.Header.Get(f.options.Dialect.AttemptID),
+		arrival:   now,
+		shareDraw: rand.Float64(),
 	}
 }
 
-// maxTime bounds a request whose route and caller set no time.
-const maxTime = 10 * time.Minute
+// defaultTimeout applies if neither the route nor the caller sets one.
+const defaultTimeout = 10 * time.Minute
 
 func (c *call) serve() {
 	if refused := c.admit(c.request.Context()); refused != nil {
 		c.refuse(refused)
 		return
 	}
-	if refused := c.front.checkStop(c.route, c.end, c.arrival); refused != nil {
+	if refused := c.front.checkStop(c.route, c.deadline, c.arrival); refused != nil {
 		c.refuse(refused)
 		return
 	}
@@ -116,21 +116,21 @@
 	}
 	c.parts = c.front.options.Dialect.ParseParts(c.request.Header.Get(c.front.options.Dialect.PromptParts))
 	c.front.retries.Earn()
-	ctx, cancel := context.WithTimeout(c.request.Context(), steady.Until(c.end))
+	ctx, cancel := context.WithTimeout(c.request.Context(), steady.Until(c.deadline))
 	defer cancel()
-	defer c.front.inFlight.add(c.end, cancel)()
-	// Not the request's own: that it ends means that the caller left.
+	defer c.front.inFlight.add(c.deadline, cancel)()
+	// The request's own context is not cancelled: its end means that the caller left.
 	defer context.AfterFunc(c.front.cutting, cancel)()
 	if c.front.cutting.Err() != nil {
-		// That is told in a goroutine of its own, which a request may be ahead of.
+		// AfterFunc runs in its own goroutine, which this one may overtake.
 		cancel()
 	}
 	c.dispatch(ctx)
 }
 
-// setEnd works out when the request's time is over.
-func (c *call) setEnd() {
-	limit := maxTime
+// setDeadline sets the deadline from the limits of the route and of the caller.
+func (c *call) setDeadline() {
+	limit := defaultTimeout
 	if c.route.Timeout > 0 {
 		limit = c.route.Timeout
 	}
@@ -138,27 +138,26 @@
 	if err == nil && milliseconds > 0 {
 		limit = min(limit, time.Duration(milliseconds*float64(time.Millisecond)))
 	}
-	c.end = c.arrival.Add(limit)
-	c.boundWrites()
+	c.deadline = c.arrival.Add(limit)
+	c.setWriteDeadline()
 }
 
-// answerTime is how long after the end of a request's time what is then said of it
-// may take to be written.
-const answerTime = time.Second
+// answerGrace is how long after the deadline the final answer may take to be written.
+const answerGrace = time.Second
 
-// boundWrites sees to it that a caller that does not read its answer is not waited
-// for when its time is over: a write to it ends by nothing else. The server takes
-// the bound off after the answer.
-func (c *call) boundWrites() {
-	// A writer that knows no deadlines has none to set.
-	_ = http.NewResponseController(c.writer).SetWriteDeadline(steady.OfDay(c.end.Add(answerTime)))
+// setWriteDeadline keeps a caller that does not read its answer from blocking the router
+// past the deadline: nothing else ends a blocked write. The server clears the write deadline
+// after the answer.
+func (c *call) setWriteDeadline() {
+	// The error is ignored: some writers do not support deadlines.
+	_ = http.NewResponseController(c.writer).SetWriteDeadline(steady.OfDay(c.deadline.Add(answerGrace)))
 }
 
-// callerLeft reports whether nobody waits for the answer any more.
+// callerLeft reports whether the caller has disconnected.
 func (c *call) callerLeft() bool { return callerLeft(c.request.Context()) }
 
-// readBody reads the whole body: it may have to be sent again, and the caller's
-// leaving is seen only after its end.
+// readBody reads the complete body: a retry needs it, and the server detects that the caller
+// left only after the body's end.
 func (c *call) readBody() *refusal {
 	limit := c.front.holder.Current().Table.Limits().BodyBytes
 	if limit > 0 && c.request.ContentLength > limit {
@@ -168,9 +167,9 @@
 	if limit > 0 {
 		reader = http.MaxBytesReader(c.writer, c.request.Body, limit)
 	}
-	// A writer that knows no deadlines has none to set.
+	// The errors are ignored: some writers do not support deadlines.
 	control := http.NewResponseController(c.writer)
-	_ = control.SetReadDeadline(steady.OfDay(c.end))
+	_ = control.SetReadDeadline(steady.OfDay(c.deadline))
 	body, err := io.ReadAll(reader)
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
@@ -184,7 +183,7 @@
 	return &refusal{status: http.StatusBadRequest, reason: "body incomplete", closes: true}
 }
 
-// key returns the key that the caller sent, or an empty text.
+// key returns the key that the caller sent, or "".
 func (c *call) key() string {
 	dialect := &c.front.options.Dialect
 	key, found := strings.CutPrefix(c.request.Header.Get(dialect.Key), dialect.KeyScheme)
--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -25,15 +25,15 @@
 
 // digest returns the digest of the request, the same for each of its tries.
 func (c *call) digest() poison.Digest {
-	if c.named == nil {
+	if c.cachedDigest == nil {
 		caller := ""
 		if c.organisation != nil {
 			caller = c.organisation.Name
 		}
 		digest := poison.NewDigest(caller, c.request.Method, c.request.Host, c.request.RequestURI, c.body)
-		c.named = &digest
+		c.cachedDigest = &digest
 	}
-	return *c.named
+	return *c.cachedDigest
 }
 
 // busyAfter is when to come back with a request that runs alone, while it runs: most
--- a/internal/front/failover_test.go
+++ b/internal/front/failover_test.go
@@ -34,7 +34,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			c := &call{front: r.front, route: &route.Route{Kind: test.kind, Attempts: test.attempts}, end: time.Now().Add(test.left)}
+			c := &call{front: r.front, route: &route.Route{Kind: test.kind, Attempts: test.attempts}, deadline: time.Now().Add(test.left)}
 			c.sent.Store(test.asked)
 			c.waiting.Store(true)
 			ctx, cancel := context.WithCancelCause(context.Background())
@@ -50,7 +50,7 @@
 func TestAnAttemptThatMovesOnHasItsRepeat(t *testing.T) {
 	r := newRig(t)
 	r.front.retries.Set(0, 1)
-	one := &call{front: r.front, route: &route.Route{Kind: route.Repeatable, Attempts: 2}, end: time.Now().Add(time.Hour), mayHaveRun: true}
+	one := &call{front: r.front, route: &route.Route{Kind: route.Repeatable, Attempts: 2}, deadline: time.Now().Add(time.Hour), mayHaveRun: true}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
 	failover := one.failover(time.Minute, cancel)
--- a/internal/front/gone_test.go
+++ b/internal/front/gone_test.go
@@ -222,7 +222,7 @@
 		_, err = io.Copy(io.Discard, response.Body)
 		require.NoError(t, err)
 		// Past the route's time and that for its answer.
-		time.Sleep(200*time.Millisecond + answerTime)
+		time.Sleep(200*time.Millisecond + answerGrace)
 	}
 }
 
--- a/internal/front/outgoing.go
+++ b/internal/front/outgoing.go
@@ -22,7 +22,7 @@
 	if c.organisation != nil {
 		header.Set(d.Organisation, c.organisation.Name)
 	}
-	header.Set(d.Deadline, strconv.FormatInt(max(steady.Until(c.end).Milliseconds(), 1), 10))
+	header.Set(d.Deadline, strconv.FormatInt(max(steady.Until(c.deadline).Milliseconds(), 1), 10))
 	header.Set(d.ExpectReplica, choice.Replica.ID)
 	if c.service.Engine != nil {
 		if !c.front.options.Without.Has(mechanism.Priority) {
--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -45,12 +45,12 @@
 // handleReplicaError handles a replica's own 5xx: what it did is not known.
 func (c *call) handleReplicaError(ctx context.Context, cancel context.CancelCauseFunc, choice balance.Choice, answer *upstream.Answer) attemptResult {
 	c.outcome.reason = "replica's error " + strconv.Itoa(answer.StatusCode)
-	if c.begun {
+	if c.headSent {
 		c.front.reportFailure(c.id, choice.Replica.ID, balance.Errored)
 		drainBody(answer)
 		return c.retry(c.outcome.reason)
 	}
-	if !c.route.RunsOnce() && steady.Until(c.end) > c.route.Target/2 && c.retry(c.outcome.reason) == attemptRetry {
+	if !c.route.RunsOnce() && steady.Until(c.deadline) > c.route.Target/2 && c.retry(c.outcome.reason) == attemptRetry {
 		c.failedReplicas = append(c.failedReplicas, choice.Replica.ID)
 		drainBody(answer)
 		return attemptRetry
--- a/internal/front/wait.go
+++ b/internal/front/wait.go
@@ -45,7 +45,7 @@
 // waitForReplica waits while a replica is expected to be there soon, and tells whether
 // to look again.
 func (c *call) waitForReplica(ctx context.Context) bool {
-	left := c.boundedWait(waitPart, maxTime) - steady.Since(c.arrival)
+	left := c.boundedWait(waitPart, defaultTimeout) - steady.Since(c.arrival)
 	if c.sent.Load() > 0 || c.evacuated() || left <= 0 {
 		return false
 	}
