--- a/internal/front/connlimits.go
+++ b/internal/front/connlimits.go
@@ -14,14 +14,13 @@
 	"github.com/croftyard/croftyard/pkg/freshness"
 )
 
-// ConnLimits closes connections of callers that rest or send a head for longer
-// than the configuration in force allows. The server's own time-outs can't
-// change while it runs.
+// ConnLimits closes callers' connections that are idle, or take to send a request head, for
+// longer than the current configuration allows. The timeouts of http.Server cannot change
+// while it runs.
 //
-// A connection is closed only while no request of it is being served, and a
-// request whose connection was closed under it is not passed on. Both are
-// decided under one lock, since the limit may end at the moment at which a
-// request comes.
+// A connection is closed only while none of its requests is being served, and a request
+// whose connection was closed is not forwarded. Both are decided under one lock, since the
+// limit may expire just as a request arrives.
 type ConnLimits struct {
 	holder *freshness.Holder
 	log    *event.Log
@@ -29,71 +28,71 @@
 	conns  map[net.Conn]*callerConn
 }
 
-// callerConn is a caller's connection. ConnLimits.mu guards it.
+// callerConn is the state of a caller's connection, guarded by ConnLimits.mu.
 type callerConn struct {
 	timer *time.Timer
-	// since is when the connection began to rest.
-	since time.Time
-	// serving: a request was read and its handler has not returned.
+	// idleSince is when the connection became idle.
+	idleSince time.Time
+	// serving is set while a handler runs for a request of the connection.
 	serving bool
-	// expired: closed for its limit.
+	// expired is set if the connection was closed because of its limit.
 	expired bool
-	// late: its limit was over when a part of a head had come.
-	late bool
+	// extended is set if the limit expired after part of a request head had arrived.
+	extended bool
 }
 
-// NewConnLimits returns limits that follow a configuration.
+// NewConnLimits returns limits that follow the configuration in h.
 func NewConnLimits(h *freshness.Holder, log *event.Log) *ConnLimits {
 	return &ConnLimits{holder: h, log: log, conns: make(map[net.Conn]*callerConn)}
 }
 
-// Times that hold before there is a configuration, and what is added to those
-// of one: a caller counts from when it got the answer, which is later.
+// Limits before there is a configuration, and the margin that is added to every limit: a
+// caller's idle time starts when it receives the answer, which is later.
 const (
 	defaultIdle   = 30 * time.Second
 	defaultHeader = 10 * time.Second
 	idleMargin    = 500 * time.Millisecond
 )
 
-// connKey is the context's key of a caller's connection.
-type connKey struct{}
+// expiredKey is the context key of a function that tells whether the connection expired.
+type expiredKey struct{}
 
-// ConnContext is a server's hook. It lets Front tell by a request's context
-// whether the connection was closed for its limit.
+// ConnContext is the hook of http.Server. It lets Front tell from a request's context
+// whether the connection was closed because of its limit.
 func (l *ConnLimits) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	conn := &callerConn{}
 	l.conns[c] = conn
-	ctx = context.WithValue(ctx, leftKey{}, func() bool {
+	ctx = context.WithValue(ctx, callerLeftKey{}, func() bool {
 		state, known := socket.Look(c)
 		return known && state.Left
 	})
-	return context.WithValue(ctx, connKey{}, func() bool {
+	return context.WithValue(ctx, expiredKey{}, func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return conn.expired
 	})
 }
 
-// leftKey is the context's key of what tells whether a caller closed its connection.
-type leftKey struct{}
+// callerLeftKey is the context key of a function that tells whether the caller closed its
+// connection.
+type callerLeftKey struct{}
 
-// callerLeft tells whether the caller of a request has closed its connection, also
-// if the server has not come to read that: a request that lay unread may have been
-// given up before it was read.
+// callerLeft reports whether the caller of a request has closed its connection, even if the
+// server has not read that yet: a request may be abandoned before the server reads it.
 func callerLeft(ctx context.Context) bool {
-	told, found := ctx.Value(leftKey{}).(func() bool)
+	told, found := ctx.Value(callerLeftKey{}).(func() bool)
 	return ctx.Err() != nil || found && told()
 }
 
-// expired tells whether the connection of a request was closed for its limit.
+// expired reports whether the connection of a request was closed because of its limit.
 func expired(ctx context.Context) bool {
-	told, found := ctx.Value(connKey{}).(func() bool)
+	told, found := ctx.Value(expiredKey{}).(func() bool)
 	return found && told()
 }
 
-// ConnState is a server's hook.
+// ConnState is the hook of http.Server.
 func (l *ConnLimits) ConnState(c net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,22 +100,21 @@
 	if conn == nil {
 		return
 	}
-	conn.serving, conn.late = state == http.StateActive, false
+	conn.serving, conn.extended = state == http.StateActive, false
 	if conn.timer != nil {
 		conn.timer.Stop()
 	}
 	switch state {
 	case http.StateNew, http.StateIdle:
-		conn.since = steady.Now()
-		conn.timer = time.AfterFunc(l.limit(), func() { l.expire(c) })
+		conn.idleSince = steady.Now()
+		conn.timer = time.AfterFunc(l.idleLimit(), func() { l.expire(c) })
 	case http.StateClosed, http.StateHijacked:
 		delete(l.conns, c)
 	}
 }
 
-// expire closes a connection unless a request came on it meanwhile, or it may
-// rest for longer: its timer may have fired for an earlier rest, and the limits
-// may have changed.
+// expire closes a connection unless it has a request or may stay idle for longer: the timer
+// may have fired for an earlier idle period, and the limits may have changed.
 func (l *ConnLimits) expire(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,31 +122,31 @@
 	if conn == nil || conn.serving || conn.expired {
 		return
 	}
-	if left := l.limit() - steady.Since(conn.since); left > 0 {
+	if left := l.idleLimit() - steady.Since(conn.idleSince); left > 0 {
 		conn.timer.Reset(left)
 		return
 	}
-	if resting, can := c.(restingCloser); can && !conn.late && inUse(resting.CloseIfResting()) {
-		// A request lies in it, at least in part: the head has the time of one.
-		conn.late = true
+	if resting, can := c.(idleCloser); can && !conn.extended && inUse(resting.CloseIfResting()) {
+		// At least part of a request is unread: allow the time of a head for the rest.
+		conn.extended = true
 		conn.timer.Reset(l.headerTime() + idleMargin)
 		return
 	}
 	conn.expired = true
-	l.log.Write(event.CallerConnExpired, event.F("caller", c.RemoteAddr().String()), event.F("rested_ms", steady.Since(conn.since).Milliseconds()))
+	l.log.Write(event.CallerConnExpired, event.F("caller", c.RemoteAddr().String()), event.F("rested_ms", steady.Since(conn.idleSince).Milliseconds()))
 	c.Close()
 }
 
 func inUse(o conns.Outcome) bool { return o == conns.Unread || o == conns.Serving }
 
-// restingCloser is a connection that can tell whether a request lies in it unread.
-type restingCloser interface {
+// idleCloser is a connection that closes only if it holds no unread request.
+type idleCloser interface {
 	CloseIfResting() conns.Outcome
 }
 
-// limit is how long a connection may rest and then send a head. A new one may rest as long
-// before its first, and callers do.
-func (l *ConnLimits) limit() time.Duration {
+// idleLimit is how long a connection may be idle and then send a head. A new one may be idle
+// as long before its first request, and callers make use of that.
+func (l *ConnLimits) idleLimit() time.Duration {
 	idle := defaultIdle
 	if table := l.holder.Current().Table; table != nil && table.Limits().Idle > 0 {
 		idle = table.Limits().Idle
@@ -156,7 +154,7 @@
 	return idle + l.headerTime() + idleMargin
 }
 
-// headerTime is how long a caller may take to send a head.
+// headerTime is how long a caller may take to send a request head.
 func (l *ConnLimits) headerTime() time.Duration {
 	if table := l.holder.Current().Table; table != nil && table.Limits().HeaderTime > 0 {
 		return table.Limits().HeaderTime
--- a/internal/front/connlimits_test.go
+++ b/internal/front/connlimits_test.go
@@ -32,7 +32,7 @@
 
 func (c *closeCounter) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
-func limitsOf(t *testing.T, idle, header time.Duration) *ConnLimits {
+func newTestLimits(t *testing.T, idle, header time.Duration) *ConnLimits {
 	t.Helper()
 	table, err := route.Compile(route.Config{Version: 1, Limits: route.Limits{Idle: idle, HeaderTime: header}})
 	require.NoError(t, err)
@@ -50,7 +50,7 @@
 		closed int
 	}{
 		{"new and never used", []http.ConnState{http.StateNew}, idle + header + idleMargin + time.Millisecond, 1},
-		// Finding 4: it was closed after the longer of both times, under the request.
+		// Guards against closing after the longer of both times, during the request.
 		{"new, resting and then sending a head", []http.ConnState{http.StateNew}, idle + header, 0},
 		{"resting too long", []http.ConnState{http.StateNew, http.StateActive, http.StateIdle}, idle + header + idleMargin + time.Millisecond, 1},
 		{"resting within its time", []http.ConnState{http.StateNew, http.StateActive, http.StateIdle}, idle + header, 0},
@@ -59,7 +59,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				limits := limitsOf(t, idle, header)
+				limits := newTestLimits(t, idle, header)
 				conn := &closeCounter{}
 				limits.ConnContext(context.Background(), conn)
 				for _, state := range test.states {
@@ -75,9 +75,9 @@
 	}
 }
 
-func TestALimitThatGrowsMeanwhileHolds(t *testing.T) {
+func TestIncreasedLimitAppliesToIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limits := limitsOf(t, 5*time.Second, time.Second)
+		limits := newTestLimits(t, 5*time.Second, time.Second)
 		conn := &closeCounter{}
 		limits.ConnContext(context.Background(), conn)
 		limits.ConnState(conn, http.StateNew)
@@ -93,10 +93,10 @@
 	})
 }
 
-// A timer that has fired can't be stopped: its function used to close the
-// connection under the request that came at that moment.
-func TestALimitThatEndsAsARequestComesDoesNotCutIt(t *testing.T) {
-	limits := limitsOf(t, time.Hour, time.Hour)
+// A timer that has fired cannot be stopped. Guards against its function closing the connection
+// of a request that arrives at that moment.
+func TestExpiryDuringRequestKeepsConnection(t *testing.T) {
+	limits := newTestLimits(t, time.Hour, time.Hour)
 	conn := &closeCounter{}
 	ctx := limits.ConnContext(context.Background(), conn)
 	limits.ConnState(conn, http.StateNew)
@@ -104,20 +104,20 @@
 	limits.expire(conn)
 	assert.Zero(t, conn.closed.Load())
 	assert.False(t, expired(ctx))
-	// The timer of an earlier rest is as late after the answer.
+	// The timer of an earlier idle period may fire after the answer.
 	limits.ConnState(conn, http.StateIdle)
 	limits.expire(conn)
 	assert.Zero(t, conn.closed.Load())
 }
 
-func TestARequestThatCrossesTheCloseIsNotPassedOn(t *testing.T) {
+func TestRequestOnExpiredConnectionNotForwarded(t *testing.T) {
 	address, arrivals := replica(t, func(http.ResponseWriter, *http.Request) {})
 	r := newRig(t, address)
-	limits := limitsOf(t, time.Hour, time.Hour)
+	limits := newTestLimits(t, time.Hour, time.Hour)
 	conn := &closeCounter{}
 	ctx := limits.ConnContext(context.Background(), conn)
 	limits.ConnState(conn, http.StateNew)
-	limits.conns[conn].since = time.Now().Add(-3 * time.Hour)
+	limits.conns[conn].idleSince = time.Now().Add(-3 * time.Hour)
 	limits.expire(conn)
 	limits.ConnState(conn, http.StateActive)
 	request := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://h/once/", nil)
@@ -126,13 +126,13 @@
 	assert.Zero(t, arrivals.Load())
 }
 
-// usedConn is a connection in which a part of a request lies.
+// usedConn is a connection that holds an unread part of a request.
 type usedConn struct{ closeCounter }
 
 func (c *usedConn) CloseIfResting() conns.Outcome { return conns.Unread }
 
-// A limit that ends over a request in part leaves it the time of a head, once.
-func TestALimitThatEndsOverAPartOfAHeadLeavesItItsTime(t *testing.T) {
+// A limit that expires after part of a request arrived is extended once by the time of a head.
+func TestPartialHeadExtendsLimitOnce(t *testing.T) {
 	const idle, header = 5 * time.Second, 3 * time.Second
 	for name, rest := range map[string]struct {
 		after  time.Duration
@@ -143,13 +143,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				limits := limitsOf(t, idle, header)
+				limits := newTestLimits(t, idle, header)
 				conn := &usedConn{}
 				limits.ConnContext(context.Background(), conn)
 				limits.ConnState(conn, http.StateNew)
 				time.Sleep(idle + header + idleMargin + time.Millisecond)
 				synctest.Wait()
-				assert.Zero(t, conn.closed.Load(), "a request lies in it")
+				assert.Zero(t, conn.closed.Load(), "it holds part of a request")
 				time.Sleep(rest.after)
 				synctest.Wait()
 				assert.EqualValues(t, rest.closed, conn.closed.Load())
