--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -64,7 +64,7 @@
 		err = c.forwardBody(answer)
 	}
 	if err == nil {
-		c.noteServed(answer.StatusCode)
+		c.recordServed(answer.StatusCode)
 		c.observePace(choice.Replica.ID)
 		c.front.longest.Record(c.route.Name, steady.Since(c.arrival), steady.Now())
 		c.setOutcome(outcomeServed, answer.StatusCode, "")
@@ -153,14 +153,14 @@
 		return attemptFinished
 	case errors.Is(context.Cause(ctx), errSilent):
 		c.outcome.reason = "stream fell silent"
-		c.noteAbandoned(choice)
+		c.recordAbandoned(choice)
 		return c.retry(c.outcome.reason)
 	case ctx.Err() != nil:
 		c.outcome.reason = "time is over"
 		return attemptGiveUp
 	}
 	c.outcome.reason = "answer broken off: " + err.Error()
-	c.noteBroken(choice)
+	c.recordBroken(choice)
 	if resumable && steady.Until(c.deadline) > 0 {
 		return c.retry("stream broken off")
 	}
--- a/internal/front/broken.go
+++ b/internal/front/broken.go
@@ -71,7 +71,7 @@
 func (f *Front) ReplicaRestarted(id string, now time.Time) {
 	f.watcher.Statements().MarkRestarted(id, now)
 	for _, b := range f.broken.take(id, now) {
-		f.noteCrash(id, b, now)
+		f.recordCrash(id, b, now)
 	}
 }
 
@@ -81,7 +81,7 @@
 func (f *Front) ReplicaRemoved(id string, now time.Time) {
 	for _, b := range f.broken.take(id, now) {
 		if b.state == upstream.Rejecting {
-			f.noteCrash(id, b, now)
+			f.recordCrash(id, b, now)
 		}
 	}
 }
--- a/internal/front/crash.go
+++ b/internal/front/crash.go
@@ -14,16 +14,16 @@
 	"github.com/croftyard/croftyard/pkg/poison"
 )
 
-// A request may crash what runs it, and come again at any router under a new id:
+// A request may crash the replica that runs it, and return at any router under a new id:
 //
-//	broke ── nothing listens there any more ──> a mark against the request, told to all
-//	answered whole ──> no mark is left
-//	before it is sent ──> held at marks of so many replicas, refused at once
+//	answer broken off ── replica stopped listening ──> crash recorded, told to all routers
+//	answer complete ──> recorded crashes are cleared
+//	before each attempt ──> refused at once if enough replicas crashed
 //
-// Without this one body that comes again and again crashes all replicas within seconds, each
-// with all that runs there.
+// Otherwise one body that is sent again and again crashes all replicas within seconds, with
+// every other request that runs there.
 
-// digest returns the digest of the request, the same for each of its tries.
+// digest returns the digest of the request, the same for each of its attempts.
 func (c *call) digest() poison.Digest {
 	if c.cachedDigest == nil {
 		caller := ""
@@ -36,12 +36,12 @@
 	return *c.cachedDigest
 }
 
-// busyAfter is when to come back with a request that runs alone, while it runs: most
-// requests that crash their replica do so within some tenths of a second.
-const busyAfter = 500 * time.Millisecond
+// exclusiveRetryAfter is the Retry-After for a request of which a copy is running alone:
+// most requests that crash their replica do so within some tenths of a second.
+const exclusiveRetryAfter = 500 * time.Millisecond
 
-// checkPoison refuses a request that is taken to crash what runs it. It is true to call
-// it not run as long as no replica had it in this try.
+// checkPoison refuses a request that is suspected to crash replicas. The refusal says that
+// the request has not run, which holds as long as no replica had it during this call.
 func (c *call) checkPoison(now time.Time) *refusal {
 	memory := c.front.poison
 	if !memory.HasMarks() {
@@ -54,11 +54,11 @@
 	case v.State == poison.Held:
 		return c.refusePoisoned(v.RetryAfter)
 	case c.sent.Load() > 0:
-		return c.refusePoisoned(busyAfter)
+		return c.refusePoisoned(exclusiveRetryAfter)
 	case c.exclusive:
 		return nil
-	case v.State == poison.Trial && !c.front.mine(c.digest()), !memory.BeginRun(c.digest(), v.State, now):
-		return c.refusePoisoned(busyAfter)
+	case v.State == poison.Trial && !c.front.ownsTrial(c.digest()), !memory.BeginRun(c.digest(), v.State, now):
+		return c.refusePoisoned(exclusiveRetryAfter)
 	}
 	c.exclusive, c.trial = true, v.State == poison.Trial
 	return nil
@@ -69,23 +69,24 @@
 	return &refusal{status: http.StatusServiceUnavailable, reason: "crashes what runs it", retryAfter: after}
 }
 
-// mine tells whether, of all routers, this one is to try a request that was held.
-func (f *Front) mine(d poison.Digest) bool {
+// ownsTrial reports whether this router, of all routers, may try a request that was held.
+func (f *Front) ownsTrial(d poison.Digest) bool {
 	return f.options.OwnsTask == nil || f.options.OwnsTask(d.String())
 }
 
 const (
-	// probeTimeout bounds the probe whether a replica has ended: a cut link answers nothing.
+	// probeTimeout bounds the probe for the end of a replica: a partitioned link gives no
+	// answer.
 	probeTimeout = time.Second
-	// probeWait is how long a retry waits for it: a round trip, and the observation of a
-	// connection that was opened.
+	// probeWait is how long a retry waits for the probe: a round trip, and the observation
+	// of the opened connection.
 	probeWait = 60 * time.Millisecond
 )
 
-// noteBroken records that a replica broke the request off, and probes concurrently whether
-// its process has ended: a lost answer, a reset and a cut link look alike from here. A
-// replica that leaves as planned may end with requests in flight.
-func (c *call) noteBroken(choice balance.Choice) {
+// recordBroken records that a replica broke the request off, and probes in the background
+// whether its process has ended: a lost answer, a reset and a partitioned link look alike
+// from here. A planned shutdown may end with requests in flight and is not a crash.
+func (c *call) recordBroken(choice balance.Choice) {
 	f, id, address := c.front, choice.Replica.ID, choice.Replica.Address
 	f.reportFailure(c.id, id, balance.Broke)
 	if f.leavesAsPlanned(id) {
@@ -102,20 +103,20 @@
 			f.broken.note(id, b, steady.Now())
 			return
 		}
-		f.noteCrash(id, b, steady.Now())
+		f.recordCrash(id, b, steady.Now())
 	}()
 }
 
-// leavesAsPlanned tells whether a replica that ends now does so since it leaves, by the
-// list or by its own statement.
+// leavesAsPlanned reports whether the replica is leaving, by the list or by its own
+// statement, so that its end is no crash.
 func (f *Front) leavesAsPlanned(id string) bool {
 	x, excluded := f.Exclusion(id, steady.Now())
 	return excluded && x.Reason != directory.RestRequested && x.Reason != directory.NotListedRecently
 }
 
-// noteAbandoned records that the request was taken from a silent replica, which may go on
-// working on it: if it restarts or disappears soon, it crashed under the request.
-func (c *call) noteAbandoned(choice balance.Choice) {
+// recordAbandoned records that the attempt at a silent replica was given up. The replica may
+// still work on the request: if it restarts or disappears soon, the request crashed it.
+func (c *call) recordAbandoned(choice balance.Choice) {
 	if c.front.leavesAsPlanned(choice.Replica.ID) {
 		return
 	}
@@ -123,7 +124,8 @@
 	c.front.broken.note(choice.Replica.ID, brokenRequest{digest: c.digest(), at: now, state: upstream.Unreachable, incarnation: incarnation(choice), fields: c.crashFields(choice, now)}, now)
 }
 
-// incarnation identifies one process of a replica id; empty if its start is not known.
+// incarnation identifies the process behind a replica id. It is empty if its start time is
+// unknown.
 func incarnation(choice balance.Choice) string {
 	if choice.Replica.Born == 0 {
 		return ""
@@ -131,20 +133,19 @@
 	return "@" + strconv.FormatInt(choice.Replica.Born, 10)
 }
 
-// crashFields are what is written if a replica crashed under the request.
+// crashFields returns the log fields for a crash of the replica while it ran the request.
 func (c *call) crashFields(choice balance.Choice, now time.Time) []event.Field {
 	return []event.Field{event.F("request", c.id), event.F("replica", choice.Replica.ID), event.F("digest", c.digest().String()),
 		event.F("route", c.route.Name), event.F("ran_ms", now.Sub(c.sentAt).Milliseconds())}
 }
 
-// noteCrash records a crash against the request under which a replica crashed.
-func (f *Front) noteCrash(id string, b brokenRequest, now time.Time) {
+// recordCrash counts a replica's crash against the request that it ran.
+func (f *Front) recordCrash(id string, b brokenRequest, now time.Time) {
 	f.poison.RecordCrash(b.digest, balance.ReplicaHash(id+b.incarnation), b.at, now)
 	f.log.Write(event.ReplicaEnded, append(b.fields, event.F("seen_after_ms", now.Sub(b.at).Milliseconds()))...)
 }
 
-// processState probes a replica's process. Calls that it broke off together share one
-// probe.
+// processState probes a replica's process. Concurrent calls for one replica share a probe.
 func (f *Front) processState(id, address string) upstream.ProcessState {
 	state, _, _ := f.probes.Do(id, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
@@ -154,8 +155,7 @@
 	return state.(upstream.ProcessState)
 }
 
-// waitForProbe waits a moment until it is known whether the last attempt crashed its
-// replica.
+// waitForProbe waits, for at most probeWait, for the probe after a broken attempt.
 func (c *call) waitForProbe(ctx context.Context) {
 	if c.probed == nil {
 		return
@@ -170,8 +170,8 @@
 	c.probed = nil
 }
 
-// noteServed records that a replica ran the request to its end.
-func (c *call) noteServed(status int) {
+// recordServed records that a replica ran the request to completion.
+func (c *call) recordServed(status int) {
 	if status < http.StatusInternalServerError {
 		c.front.poison.RecordSuccess(c.digest(), steady.Now())
 	}
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -21,8 +21,9 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-// ends serves requests with a handler on a listener that the handler may close.
-func ends(t *testing.T, handler func(l net.Listener, w http.ResponseWriter)) string {
+// newAbortingReplica starts a replica that runs a handler, which may close the listener, and
+// then aborts the connection.
+func newAbortingReplica(t *testing.T, handler func(l net.Listener, w http.ResponseWriter)) string {
 	t.Helper()
 	server := httptest.NewUnstartedServer(nil)
 	server.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -35,7 +36,7 @@
 	return server.Listener.Addr().String()
 }
 
-func TestAReplicaThatEndedIsToldFromAnAnswerThatWasLost(t *testing.T) {
+func TestCrashDistinguishedFromLostAnswer(t *testing.T) {
 	tests := map[string]struct {
 		handler func(l net.Listener, w http.ResponseWriter)
 		ended   bool
@@ -54,7 +55,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, ends(t, test.handler))
+			r := newRig(t, newAbortingReplica(t, test.handler))
 			_, _, _ = r.send(t, http.MethodPost, "/single/x", "body")
 			if test.ended {
 				for r.log.Count(event.ReplicaEnded) == 0 {
@@ -67,8 +68,8 @@
 	}
 }
 
-// mark notes crashes against the request that send makes to a path with a body.
-func (r *rig) mark(path, body string, crashes int) poison.Digest {
+// recordCrashes records crashes against the request that send makes to path with body.
+func (r *rig) recordCrashes(path, body string, crashes int) poison.Digest {
 	digest := poison.NewDigest("acme", http.MethodPost, "h", path, []byte(body))
 	r.front.poison.SetLimits(poison.Limits{Crashes: 3, Hold: time.Minute})
 	for n := range crashes {
@@ -77,10 +78,10 @@
 	return digest
 }
 
-func TestARequestThatCrashesReplicasIsRefusedAtOnceAndToldForHowLong(t *testing.T) {
+func TestPoisonRequestRefusedWithRetryAfter(t *testing.T) {
 	address, arrivals := replica(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("whole")) })
 	r := newRig(t, address)
-	r.mark("/repeat/x", "deadly", 3)
+	r.recordCrashes("/repeat/x", "deadly", 3)
 	answer, _, err := r.send(t, http.MethodPost, "/repeat/x", "deadly")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
@@ -95,8 +96,8 @@
 	}
 }
 
-// That it is held became known while it was connecting.
-func TestARequestThatCrashesReplicasIsNotWritten(t *testing.T) {
+// The request becomes held while its connection is opened.
+func TestPoisonRequestNotWritten(t *testing.T) {
 	r := newRig(t, "127.0.0.1:1")
 	c := newCall(r.front, nil, httptest.NewRequest(http.MethodPost, "http://h/single/x", nil), time.Now())
 	require.NoError(t, c.checkBeforeWrite("r0", time.Now()))
@@ -106,18 +107,18 @@
 	assert.ErrorIs(t, c.checkBeforeWrite("r0", time.Now()), errNotAllowed)
 }
 
-// Under one of its tries the last replica that it may crash ended: what ran may not be
-// called not run, and no further replica gets it.
-func TestARequestIsNotRepeatedOnceItIsHeld(t *testing.T) {
-	deadly := ends(t, func(l net.Listener, _ http.ResponseWriter) { l.Close() })
+// An attempt crashes the last replica that the request may crash. Guards against a further
+// attempt, and against a refusal that says that the request has not run.
+func TestHeldRequestNotRetried(t *testing.T) {
+	deadly := newAbortingReplica(t, func(l net.Listener, _ http.ResponseWriter) { l.Close() })
 	r := newRig(t, deadly)
 	var more []directory.Replica
 	for n := range 3 {
 		more = append(more, directory.Replica{ID: fmt.Sprint("s", n), Service: "s", DataCentre: "here",
-			Address: ends(t, func(l net.Listener, _ http.ResponseWriter) { l.Close() })})
+			Address: newAbortingReplica(t, func(l net.Listener, _ http.ResponseWriter) { l.Close() })})
 	}
 	r.list(t, more...)
-	r.mark("/repeat/x", "deadly", 1)
+	r.recordCrashes("/repeat/x", "deadly", 1)
 	answer, _, err := r.send(t, http.MethodPost, "/repeat/x", "deadly")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusBadGateway, answer.StatusCode)
@@ -131,7 +132,7 @@
 	assert.EqualValues(t, 2, r.log.Count(event.ReplicaEnded))
 }
 
-func TestAWholeAnswerClearsARequestAndItsFirstBytesDoNot(t *testing.T) {
+func TestOnlyCompleteAnswerClearsCrashes(t *testing.T) {
 	broken := false
 	address, _ := replica(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("half"))
@@ -141,7 +142,7 @@
 		}
 	})
 	r := newRig(t, address)
-	digest := r.mark("/single/x", "body", 2)
+	digest := r.recordCrashes("/single/x", "body", 2)
 	broken = true
 	_, _, _ = r.send(t, http.MethodPost, "/single/x", "body")
 	assert.Equal(t, poison.Suspected, r.front.poison.Check(digest, time.Now()).State)
@@ -153,14 +154,14 @@
 	}
 }
 
-func TestASuspectRunsOnceAtATimeAndATrialAtOneRouterOnly(t *testing.T) {
+func TestSuspectRunsAloneAndTrialAtOneRouter(t *testing.T) {
 	begun, finish := make(chan struct{}), make(chan struct{})
 	address, _ := replica(t, func(w http.ResponseWriter, _ *http.Request) {
 		close(begun)
 		<-finish
 	})
 	r := newRig(t, address)
-	r.mark("/single/x", "body", 2)
+	r.recordCrashes("/single/x", "body", 2)
 	first := make(chan int)
 	go func() {
 		answer, _, err := r.send(t, http.MethodPost, "/single/x", "body")
@@ -177,7 +178,7 @@
 	close(finish)
 	assert.Equal(t, http.StatusOK, <-first)
 
-	digest := r.mark("/single/y", "body", 3)
+	digest := r.recordCrashes("/single/y", "body", 3)
 	r.front.poison.SetLimits(poison.Limits{Crashes: 3})
 	r.front.options.OwnsTask = func(task string) bool { return task != digest.String() }
 	answer, _, err = r.send(t, http.MethodPost, "/single/y", "body")
@@ -185,9 +186,9 @@
 	assert.Equal(t, http.StatusServiceUnavailable, answer.StatusCode, "another router tries it")
 }
 
-// What stands before a replica takes connections still, or the replica is back at once:
-// what it says of its start, or the end of its entry, tells later that it had crashed.
-func TestACrashThatWasNotSeenIsToldByWhatFollows(t *testing.T) {
+// A crash may go unseen because a proxy still accepts connections, or because the replica is
+// back at once. Its reported start, or the removal of its entry, then reveals the crash.
+func TestUnseenCrashInferredFromRestartOrRemoval(t *testing.T) {
 	tests := map[string]struct {
 		state upstream.ProcessState
 		after time.Duration
@@ -216,7 +217,7 @@
 	}
 }
 
-func TestWhatAReplicaShowedBeforeItStartedAgainIsForgotten(t *testing.T) {
+func TestRestartClearsStatements(t *testing.T) {
 	r := newStillRig(t)
 	now := time.Now()
 	r.watcher.Statements().MarkServing("a", now, now)
@@ -224,9 +225,9 @@
 	assert.Zero(t, r.watcher.Statements().Get("a"))
 }
 
-// Guards against a mark against an innocent request that is in flight when a replica ends
-// after it announced its shutdown: the third would have the request refused everywhere.
-func TestAPlannedEndAfterAnAnnouncementMarksNoRequest(t *testing.T) {
+// Guards against counting a crash against a request in flight when a replica ends after it
+// announced its shutdown: the third crash has the request refused everywhere.
+func TestPlannedShutdownRecordsNoCrash(t *testing.T) {
 	for name, marks := range map[string]bool{"announced": false, "at rest": true, "neither": true} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, "127.0.0.1:1")
@@ -239,7 +240,7 @@
 			}
 			request := httptest.NewRequest(http.MethodPost, "/repeat/x", nil)
 			c := &call{front: r.front, request: request, route: &route.Route{}, sentAt: now}
-			c.noteBroken(balance.Choice{Replica: r.source.snapshot.Replicas[0]})
+			c.recordBroken(balance.Choice{Replica: r.source.snapshot.Replicas[0]})
 			if c.probed != nil {
 				<-c.probed
 			}
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -197,9 +197,9 @@
 		return attemptGiveUp
 	}
 	if hung {
-		c.noteAbandoned(choice)
+		c.recordAbandoned(choice)
 	} else {
-		c.noteBroken(choice)
+		c.recordBroken(choice)
 	}
 	return c.retry("broken")
 }
--- a/internal/front/failover_test.go
+++ b/internal/front/failover_test.go
@@ -17,7 +17,7 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-func TestAnAttemptMovesOnOnlyIfTheRequestMayBeRepeatedInTime(t *testing.T) {
+func TestFailoverOnlyIfRetryAllowedInTime(t *testing.T) {
 	tests := map[string]struct {
 		kind     route.Kind
 		attempts int
@@ -45,9 +45,9 @@
 	}
 }
 
-// A stream that seemed silent was ended while one repeat was left; another request took
-// that before the stream did, and its caller was cut off from an engine that was sound.
-func TestAnAttemptThatMovesOnHasItsRepeat(t *testing.T) {
+// Guards against ending a stream that seems silent for a retry that another request takes
+// first: the caller is then cut off from a healthy engine.
+func TestFailoverReservesRetry(t *testing.T) {
 	r := newRig(t)
 	r.front.retries.Set(0, 1)
 	one := &call{front: r.front, route: &route.Route{Kind: route.Repeatable, Attempts: 2}, deadline: time.Now().Add(time.Hour), mayHaveRun: true}
@@ -63,7 +63,7 @@
 	assert.Equal(t, attemptGiveUp, one.retry("once more"), "it was one")
 }
 
-func TestAReplicaIsBlamedOnlyForWhatIsItsFault(t *testing.T) {
+func TestOnlyReplicaFaultsReported(t *testing.T) {
 	tests := map[string]struct {
 		err    error
 		blamed bool
@@ -79,7 +79,7 @@
 			r := newRig(t, "127.0.0.1:1")
 			c := newCall(r.front, nil, httptest.NewRequest(http.MethodGet, "/", nil), time.Now())
 			func() {
-				// A call whose caller has left ends so.
+				// A call whose caller has left ends in a panic.
 				defer func() { _ = recover() }()
 				c.handleFailure(context.Background(), balance.Choice{Replica: directory.Replica{ID: "r0"}}, fmt.Errorf("%w: %w", upstream.ErrNotSent, test.err))
 			}()
