--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -15,20 +15,20 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// attemptResult is what one attempt at a replica leads to.
+// attemptResult is the outcome of one attempt at a replica.
 type attemptResult uint8
 
 const (
-	// attemptFinished: the caller has its answer, or is gone.
+	// attemptFinished: the caller has its answer or has disconnected.
 	attemptFinished attemptResult = iota
-	// attemptRetry: another replica may be asked.
+	// attemptRetry: another replica may be tried.
 	attemptRetry
-	// attemptGiveUp: no further replica may be asked; the caller must be told.
+	// attemptGiveUp: no further replica may be tried; the caller gets an error.
 	attemptGiveUp
 )
 
-// dispatch sends the request to replicas until one of them answers it or none
-// may be asked any more.
+// dispatch sends the request to one replica after another until one answers it or no further
+// replica may be tried.
 func (c *call) dispatch(ctx context.Context) {
 	for {
 		if c.callerLeft() {
@@ -69,8 +69,8 @@
 	}
 }
 
-// refuseNoReplica refuses a request for which there is no replica, or only excluded ones, for
-// a reason.
+// refuseNoReplica refuses a request whose service has no eligible replica. x is the exclusion
+// of the replica that it would otherwise go to, if there is one.
 func (c *call) refuseNoReplica(x directory.Exclusion) *refusal {
 	if c.evacuated() {
 		return c.unavailable("evacuated")
@@ -81,10 +81,11 @@
 	return c.unavailable("no replica")
 }
 
-// evacuated tells whether all replicas of the service are: there is nothing to wait for.
+// evacuated reports whether all replicas of the service are evacuated, so that waiting is
+// useless.
 func (c *call) evacuated() bool { return c.front.balancer.ServiceEvacuated(c.service.Name) }
 
-// question asks for a replica that was not tried and is not excluded.
+// question returns the balancer's query for a replica that is neither tried nor excluded.
 func (c *call) question(excluded []string) balance.Request {
 	tried := slices.Concat(c.tried, excluded)
 	q := balance.Request{Service: c.service.Name, DataCentre: c.front.options.DataCentre, Tried: tried, ColdRate: c.service.ColdRate}
@@ -94,8 +95,8 @@
 	return q
 }
 
-// checkAdmission checks again that the configuration allows the request: it may have
-// changed while the body came or while another replica was tried.
+// checkAdmission repeats the admission checks: the configuration may have changed while the
+// body was read or while another replica was tried.
 func (c *call) checkAdmission(ctx context.Context) *refusal {
 	if ctx.Err() != nil {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "time is over", retryAfter: retryElsewhere}
@@ -106,7 +107,7 @@
 	return c.checkPoison(steady.Now())
 }
 
-// logListAge logs when the list of replicas could not be refreshed, and when it was again.
+// logListAge logs when refreshing the list of replicas starts to fail and when it works again.
 func (f *Front) logListAge(err error) {
 	if was := f.listStale.Swap(err != nil); was == (err != nil) {
 		return
@@ -150,7 +151,7 @@
 	return c.handleAnswer(ctx, cancel, choice, answer)
 }
 
-// logChoice logs which replica was chosen, and by which figures.
+// logChoice logs the chosen replica with the values that led to the choice.
 func (c *call) logChoice(choice balance.Choice) {
 	id, now := choice.Replica.ID, steady.Now()
 	fields := []event.Field{
@@ -167,7 +168,7 @@
 	c.front.log.Write(event.ReplicaChosen, append(fields, c.exclusionFields()...)...)
 }
 
-// handleFailure turns an attempt without an answer into a result.
+// handleFailure decides how to go on after an attempt without an answer.
 func (c *call) handleFailure(ctx context.Context, choice balance.Choice, err error) attemptResult {
 	id := choice.Replica.ID
 	c.outcome.reason = "no answer: " + err.Error()
@@ -176,14 +177,14 @@
 		return attemptFinished
 	}
 	if errors.Is(err, errNotAllowed) {
-		return c.notWritten(id, err)
+		return c.handleUnwritten(id, err)
 	}
 	if errors.Is(err, upstream.ErrNotSent) {
-		// That this router has no descriptor left is not the replica's fault.
+		// If this router is out of file descriptors, the replica is not at fault.
 		if c.request.Context().Err() == nil && ctx.Err() == nil && !socket.IsExhausted(err) {
 			c.front.reportFailure(c.id, id, dialFailure(err))
 		}
-		// Nothing reached the replica, so this was no attempt.
+		// Nothing reached the replica, so this does not count as an attempt.
 		return attemptRetry
 	}
 	c.sent.Add(1)
@@ -204,24 +205,24 @@
 	return c.retry("broken")
 }
 
-// maxNotWritten is how often a request may be not written once connected. Then its way
-// takes longer than what allows it stays new.
-const maxNotWritten = 2
+// maxUnwritten is how many attempts may be cancelled between connect and write. After that,
+// connecting takes longer than the data that permits the request stays fresh.
+const maxUnwritten = 2
 
-// notWritten turns an attempt that was not written into a result. It is no failure of the
-// replica, which may be asked again.
-func (c *call) notWritten(id string, err error) attemptResult {
+// handleUnwritten decides how to go on after an attempt that was not written. The replica is
+// not at fault and may be tried again.
+func (c *call) handleUnwritten(id string, err error) attemptResult {
 	c.outcome.reason = err.Error()
 	c.unwritten++
-	if c.unwritten >= maxNotWritten {
+	if c.unwritten >= maxUnwritten {
 		return attemptGiveUp
 	}
 	c.tried = slices.DeleteFunc(c.tried, func(tried string) bool { return tried == id })
 	return attemptRetry
 }
 
-// sentCount returns how many replicas the request was sent to, including one that has not
-// answered yet.
+// sentCount returns how many replicas the request was sent to, including one whose answer is
+// outstanding.
 func (c *call) sentCount() int {
 	sent := int(c.sent.Load())
 	if c.waiting.Load() {
@@ -237,7 +238,7 @@
 	return balance.Unreachable
 }
 
-// retry decides whether another replica may be asked after one that may have run the
+// retry decides whether another replica may be tried after one that may have run the
 // request.
 func (c *call) retry(why string) attemptResult {
 	if c.mayHaveRun && c.route.RunsOnce() {
@@ -255,7 +256,7 @@
 	return attemptRetry
 }
 
-// spendRetry takes a retry from the budget, and logs when there is none.
+// spendRetry takes a retry from the budget, and logs once when the budget is exhausted.
 func (f *Front) spendRetry(request string) bool {
 	spent := !f.retries.Spend()
 	if spent && !f.spent.Swap(true) {
--- a/internal/front/eligible.go
+++ b/internal/front/eligible.go
@@ -14,30 +14,30 @@
 	"github.com/croftyard/croftyard/pkg/poison"
 )
 
-// errNotAllowed: a request was not written, since by then it was no longer allowed.
+// errNotAllowed means that a request was not written because it was no longer allowed.
 var errNotAllowed = errors.New("front: request no longer allowed")
 
-// listLimit is the greatest age of the list of replicas by which requests are sent.
-func (f *Front) listLimit() time.Duration {
+// maxListAge is the maximum age of the list of replicas; 0 means no maximum.
+func (f *Front) maxListAge() time.Duration {
 	if f.options.Without.Has(mechanism.Renew) {
 		return 0
 	}
 	return f.limits.Load().MaxListAge
 }
 
-// exclusions returns the replicas of the service that get no new requests although the
-// list says that they are ready.
+// exclusions returns the replicas of the service that are listed as ready but get no new
+// requests.
 func (c *call) exclusions(now time.Time) []directory.Exclusion {
-	return c.front.watcher.Exclusions(c.service.Name, c.front.listLimit(), now)
+	return c.front.watcher.Exclusions(c.service.Name, c.front.maxListAge(), now)
 }
 
-// Exclusion tells whether a replica gets no new requests, and why.
+// Exclusion reports whether a replica gets no new requests, and why.
 func (f *Front) Exclusion(id string, now time.Time) (directory.Exclusion, bool) {
-	return f.watcher.Exclusion(id, f.listLimit(), now)
+	return f.watcher.Exclusion(id, f.maxListAge(), now)
 }
 
-// choose picks a replica that is not excluded, else one that may still have a request as
-// the last of its service.
+// choose picks a replica that is not excluded. Failing that, it picks one that may serve as
+// the last resort of its service.
 func (c *call) choose(excluded []directory.Exclusion, now time.Time) (balance.Choice, bool) {
 	c.lastResort, c.excluded = false, excluded
 	choice, found := c.front.balancer.Pick(c.question(idsOf(excluded)), now)
@@ -57,8 +57,8 @@
 	return ids
 }
 
-// checkBeforeWrite checks, once a connection to a replica is open, that the request may
-// still be written to it: opening the connection may have taken time.
+// checkBeforeWrite checks that the request may still be written to a replica once the
+// connection is open: opening it may have taken time.
 func (c *call) checkBeforeWrite(id string, now time.Time) error {
 	if c.callerLeft() {
 		return errCallerGone
@@ -72,50 +72,51 @@
 	}
 	limits := c.front.limits.Load()
 	age := c.front.holder.Current().ProofAge(now)
-	// By AbsenceProof a proof that was asked for at admission is young enough.
+	// MaxAbsenceProofAge admits a confirmation that was requested at admission.
 	if c.organisation != nil && age >= max(limits.MaxKeyProofAge, limits.MaxAbsenceProofAge) {
 		return fmt.Errorf("%w: configuration proven %v ago, too long for keys", errNotAllowed, age)
 	}
 	return nil
 }
 
-// opening is when a service's first replica may have new requests.
-type opening struct {
+// availability is when the first replica of a service accepts new requests.
+type availability struct {
 	after time.Duration
-	// known: there is such a time. promised: it is the end of a rest that was asked for.
+	// known is set if there is such a time, promised if it is the end of a rest that the
+	// replica asked for.
 	known, promised bool
 }
 
-// opens returns when a replica of the service is first to be given work again.
-func (c *call) opens(now time.Time) opening {
+// nextAvailable returns when the first replica of the service may get requests again.
+func (c *call) nextAvailable(now time.Time) availability {
 	excluded := c.exclusions(now)
-	var o opening
+	var o availability
 	o.after, o.known = c.front.balancer.AvailableIn(c.service.Name, idsOf(excluded), now)
 	for _, x := range excluded {
 		if x.Until.IsZero() {
 			continue
 		}
 		if in := x.Until.Sub(now); !o.known || in < o.after {
-			o = opening{after: in, known: true, promised: true}
+			o = availability{after: in, known: true, promised: true}
 		}
 	}
 	return o
 }
 
-// Bounds of the time over which refused callers are spread after the end of a rest, so that
-// they do not all retry at one moment.
+// Bounds of the jitter added to a Retry-After at the end of a rest, so that refused callers
+// do not all retry at once.
 const (
-	spreadPart    = 4
-	longestSpread = 2 * time.Second
+	jitterDivisor = 4
+	maxJitter     = 2 * time.Second
 )
 
-// spread returns a Retry-After of at least a time.
-func spread(after time.Duration) time.Duration {
-	return after + time.Duration(rand.Float64()*float64(min(after/spreadPart, longestSpread)))
+// addJitter returns a Retry-After of at least after.
+func addJitter(after time.Duration) time.Duration {
+	return after + time.Duration(rand.Float64()*float64(min(after/jitterDivisor, maxJitter)))
 }
 
-// exclusionOf returns why the replicas are excluded that the request could have otherwise;
-// false if there are none.
+// exclusionOf returns the exclusion of the replica that the request would otherwise go to;
+// false if there is none.
 func (c *call) exclusionOf(excluded []directory.Exclusion) (x directory.Exclusion, all bool) {
 	if len(excluded) == 0 {
 		return directory.Exclusion{}, false
--- a/internal/front/refusal.go
+++ b/internal/front/refusal.go
@@ -46,11 +46,11 @@
 // unavailable refuses a request that no replica took, until the first of them may have
 // requests again; if that is not known, until the list has been read again.
 func (c *call) unavailable(reason string) *refusal {
-	first := c.opens(steady.Now())
+	first := c.nextAvailable(steady.Now())
 	after := boundRetryAfter(first.after)
 	switch {
 	case first.promised:
-		after = max(spread(first.after), retryElsewhere)
+		after = max(addJitter(first.after), retryElsewhere)
 	case !first.known:
 		after = c.front.untilNextRead()
 	}
--- a/internal/front/wait.go
+++ b/internal/front/wait.go
@@ -50,7 +50,7 @@
 		return false
 	}
 	news, expected := c.front.watcher.Updates()
-	first := c.opens(steady.Now())
+	first := c.nextAvailable(steady.Now())
 	opening := first.known && first.after > 0 && first.after <= left
 	if !opening && !expected {
 		return false
