--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -66,7 +66,7 @@
 	if err == nil {
 		c.recordServed(answer.StatusCode)
 		c.observePace(choice.Replica.ID)
-		c.front.longest.Record(c.route.Name, steady.Since(c.arrival), steady.Now())
+		c.front.longestDurations.Record(c.route.Name, steady.Since(c.arrival), steady.Now())
 		c.setOutcome(outcomeServed, answer.StatusCode, "")
 		return attemptFinished
 	}
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -259,11 +259,11 @@
 // spendRetry takes a retry from the budget, and logs once when the budget is exhausted.
 func (f *Front) spendRetry(request string) bool {
 	spent := !f.retries.Spend()
-	if spent && !f.spent.Swap(true) {
+	if spent && !f.budgetExhausted.Swap(true) {
 		f.log.Write(event.BudgetSpent, event.F("request", request))
 	}
 	if !spent {
-		f.spent.Store(false)
+		f.budgetExhausted.Store(false)
 	}
 	return !spent
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,12 +1,11 @@
-// Package front serves callers' requests by the configured routes.
+// Package front forwards callers' requests to replicas by the configured routes.
 //
-//	caller ──HTTP──> Front ── route, key, proof ──> balance.Pick ──> upstream ──HTTP──> replica
+//	caller ──HTTP──> Front ── route, key, freshness ──> balance.Pick ──> upstream ──HTTP──> replica
 //
-// Every request ends in one of three ways: the answer of a replica, unchanged;
-// a refusal that promises that it has not run and never will (503 with
-// Retry-After); or an error that promises nothing (502, 504, a cut connection).
-// The names of headers and the forms of their values are those of a Dialect, so
-// that the package knows no platform's names.
+// Every request ends in one of three ways: the unchanged answer of a replica; a refusal
+// which guarantees that the request has not run and never will (503 with Retry-After); or an
+// error that guarantees nothing (502, 504, an aborted connection). A Dialect gives the names
+// of headers and the formats of their values, so that the package depends on no platform.
 package front
 
 import (
@@ -28,8 +27,7 @@
 	"github.com/croftyard/croftyard/pkg/poison"
 )
 
-// Dialect holds the names and forms in which callers, routers and replicas
-// speak.
+// Dialect holds the header names and value formats that callers, routers and replicas use.
 type Dialect struct {
 	// Headers of a caller's request.
 	AttemptID   string
@@ -38,120 +36,122 @@
 	Key         string
 	// KeyScheme precedes the key in its header.
 	KeyScheme string
-	// Headers that the router sets towards a replica.
+	// Headers that the router sets in requests to a replica.
 	Organisation  string
 	ExpectReplica string
 	Priority      string
 	CopyFrom      string
-	// RouterOnly names all headers that only routers may set; a caller's are dropped.
+	// RouterOnly lists the headers that only routers may set; those of callers are dropped.
 	RouterOnly []string
-	// Headers of a replica's answer.
+	// Headers of a replica's answer. NotExecuted says that the request has not run.
 	NotExecuted string
 	Load        string
 	// ShuttingDown announces the replica's shutdown.
 	ShuttingDown string
-	// ParseParts reads the value of Parts, ParseLoad that of Load.
+	// ParseParts parses the value of PromptParts, ParseLoad that of Load.
 	ParseParts func(string) []balance.Part
 	ParseLoad  func(string) (requests int, ok bool)
 }
 
-// Options of a front.
+// Options configures a Front.
 type Options struct {
 	Dialect Dialect
-	// DataCentre is the router's.
+	// DataCentre is the router's own.
 	DataCentre string
 	Limits     Limits
-	// Poison holds the marks against requests; nil: marks of its own.
+	// Poison records the requests that crash replicas. If nil, New creates one.
 	Poison *poison.Tracker
-	// OwnsTask tells whether, of all routers, this one is to do a task; nil: it is.
+	// OwnsTask reports whether this router, of all routers, is responsible for a task. If
+	// nil, it is responsible for all.
 	OwnsTask func(task string) bool
-	// Without are mechanisms that an experiment leaves out.
+	// Without are the mechanisms that an experiment disables.
 	Without mechanism.Set
 }
 
-// Limits can change while the front runs.
+// Limits are the settings that can change while a Front runs.
 type Limits struct {
-	// MaxKeyProofAge is the greatest age of the proof at which a key is believed.
+	// MaxKeyProofAge is the maximum age of the configuration's last confirmation at which
+	// keys are accepted.
 	MaxKeyProofAge time.Duration
-	// MaxAbsenceProofAge is the greatest age of the proof at which an unknown route or
-	// key is said to be unknown.
+	// MaxAbsenceProofAge is the maximum age of that confirmation at which a route or key may
+	// be reported as unknown.
 	MaxAbsenceProofAge time.Duration
-	// MaxListAge is the greatest age of the list of replicas by which a request is
-	// written to a replica. Zero: none.
+	// MaxListAge is the maximum age of the list of replicas at which a request is written to
+	// a replica. Zero means no maximum.
 	MaxListAge time.Duration
-	// RetryRatio is how many retries each request earns, RetryReserve how many
-	// there are in store.
+	// RetryRatio is how many retries each request adds to the budget, RetryBurst how many
+	// the budget holds.
 	RetryRatio float64
 	RetryBurst float64
 }
 
-// Front is an http.Handler.
+// Front is an http.Handler that forwards requests to replicas.
 type Front struct {
-	options  Options
-	watcher  *watch.Watcher
-	holder   *freshness.Holder
-	balancer *balance.Balancer
-	poison   *poison.Tracker
-	pool     *upstream.Pool
-	log      *event.Log
-	metrics  *Metrics
-	started  time.Time
-	limits   atomic.Pointer[Limits]
-	retries  *admission.RetryBudget
-	active   atomic.Int64
-	served   atomic.Uint64
-	spent    atomic.Bool
-	// listStale: the list of replicas could not be refreshed at the last attempt.
+	options         Options
+	watcher         *watch.Watcher
+	holder          *freshness.Holder
+	balancer        *balance.Balancer
+	poison          *poison.Tracker
+	pool            *upstream.Pool
+	log             *event.Log
+	metrics         *Metrics
+	started         time.Time
+	limits          atomic.Pointer[Limits]
+	retries         *admission.RetryBudget
+	active          atomic.Int64
+	served          atomic.Uint64
+	budgetExhausted atomic.Bool
+	// listStale is set if the last attempt to refresh the list of replicas failed.
 	listStale atomic.Bool
-	// stopping is nil while no stop was asked for.
+	// stopping is nil until BeginShutdown is called.
 	stopping atomic.Pointer[stop]
-	// cutting ends the calls that are in flight.
-	cutting context.Context
-	cut     context.CancelFunc
-	longest *admission.MaxDurations
-	// probes find out whether a replica has ended.
+	// cutting is cancelled by cut to end the calls in flight.
+	cutting          context.Context
+	cut              context.CancelFunc
+	longestDurations *admission.MaxDurations
+	// probes deduplicates concurrent probes of one replica.
 	probes singleflight.Group
 	broken brokenRequests
-	// inFlight are the calls under way.
+	// inFlight are the calls in progress.
 	inFlight inFlight
 }
 
-// New returns a front.
+// New returns a Front.
 func New(o Options, f *watch.Watcher, h *freshness.Holder, b *balance.Balancer, p *upstream.Pool, m *Metrics, log *event.Log) *Front {
 	if o.Poison == nil {
 		o.Poison = poison.New(poison.Options{})
 	}
 	front := &Front{
-		options:  o,
-		watcher:  f,
-		holder:   h,
-		balancer: b,
-		poison:   o.Poison,
-		pool:     p,
-		log:      log,
-		metrics:  m,
-		started:  steady.Now(),
-		retries:  admission.NewRetryBudget(o.Limits.RetryRatio, o.Limits.RetryBurst),
-		longest:  admission.NewMaxDurations(),
+		options:          o,
+		watcher:          f,
+		holder:           h,
+		balancer:         b,
+		poison:           o.Poison,
+		pool:             p,
+		log:              log,
+		metrics:          m,
+		started:          steady.Now(),
+		retries:          admission.NewRetryBudget(o.Limits.RetryRatio, o.Limits.RetryBurst),
+		longestDurations: admission.NewMaxDurations(),
 	}
 	front.limits.Store(&o.Limits)
 	front.cutting, front.cut = context.WithCancel(context.Background())
 	return front
 }
 
-// SetLimits changes the limits.
+// SetLimits replaces the limits.
 func (f *Front) SetLimits(l Limits) {
 	f.limits.Store(&l)
 	f.retries.Set(l.RetryRatio, l.RetryBurst)
 }
 
-// ActiveRequests returns the number of requests that are served now.
+// ActiveRequests returns the number of requests being served.
 func (f *Front) ActiveRequests() int { return int(f.active.Load()) }
 
 // ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if expired(r.Context()) {
-		// The caller sees its connection closed and knows that nothing was passed on.
+		// The closed connection tells the caller that nothing was forwarded.
 		panic(http.ErrAbortHandler)
 	}
 	f.active.Add(1)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -19,7 +19,7 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-func TestARequestReachesTheReplicaUnaltered(t *testing.T) {
+func TestRequestForwardedUnaltered(t *testing.T) {
 	var got *http.Request
 	var body string
 	address, _ := replica(t, func(w http.ResponseWriter, r *http.Request) {
@@ -51,7 +51,7 @@
 	assert.Positive(t, left)
 }
 
-func TestWhatMayNotBeRepeatedIsSentOnceWhenItMayHaveRun(t *testing.T) {
+func TestNonRepeatableRequestSentOnce(t *testing.T) {
 	for name, answer := range map[string]string{
 		"closed without an answer":       "!",
 		"half a head":                    "HTTP/1.1 200 O!",
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestWhatProvablyDidNotRunGoesToAnotherReplica(t *testing.T) {
+func TestRequestNotRunIsRetried(t *testing.T) {
 	notRun := "HTTP/1.1 503 Busy\r\nTry: id-1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	misdirected := "HTTP/1.1 421 Other\r\nTry: id-1\r\nContent-Length: 0\r\n\r\n"
 	for name, answer := range map[string]string{"not run": notRun, "misdirected": misdirected} {
@@ -104,7 +104,7 @@
 	assert.Equal(t, 1, busy+busyToo)
 }
 
-func TestAReplicaThatRefusesConnectionsCostsNoAttempt(t *testing.T) {
+func TestRefusedConnectionCostsNoAttempt(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	dead := listener.Addr().String()
@@ -116,19 +116,19 @@
 	assert.Equal(t, http.StatusOK, response.StatusCode)
 }
 
-func TestNoReplicaIsSaidAtOnce(t *testing.T) {
+func TestNoReplicaRefusedAtOnce(t *testing.T) {
 	response, _, err := newRig(t).send(t, "POST", "/once/", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	assert.NotEmpty(t, response.Header.Get("Retry-After"))
 }
 
-func TestWhereAllIsEvacuatedARequestIsRefusedAtOnce(t *testing.T) {
+func TestEvacuatedServiceRefusedAtOnce(t *testing.T) {
 	address, arrivals := replica(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 	r := newRig(t, address)
 	waits := &call{front: r.front, service: &route.Service{Name: "s"}, route: &route.Route{Target: time.Hour}, arrival: time.Now()}
 	assert.False(t, waits.evacuated(), "one may come")
-	snapshot := changed(r, func(*route.Config) {})
+	snapshot := changedSnapshot(r, func(*route.Config) {})
 	snapshot.Evacuated = []string{"here"}
 	r.watcher.ApplySnapshot(snapshot, time.Now())
 	assert.True(t, waits.evacuated())
@@ -146,10 +146,10 @@
 	assert.Equal(t, http.StatusOK, response.StatusCode)
 }
 
-func TestAColdReplicaIsHeldBackByWhatItsServiceBears(t *testing.T) {
+func TestColdReplicaLimitedByColdRate(t *testing.T) {
 	address, arrivals := replica(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 	r := newRig(t, address)
-	snapshot := changed(r, func(c *route.Config) { c.Services[0].ColdRate = 1 })
+	snapshot := changedSnapshot(r, func(c *route.Config) { c.Services[0].ColdRate = 1 })
 	for entry, cold := range []bool{true, false} {
 		snapshot.Replicas = slices.Clone(snapshot.Replicas)
 		snapshot.Replicas[0].Entry = uint64(entry + 1)
@@ -165,8 +165,8 @@
 	}
 }
 
-// changed returns the rig's snapshot with another configuration.
-func changed(r *rig, change func(c *route.Config)) watch.Snapshot {
+// changedSnapshot returns the rig's snapshot with a modified configuration.
+func changedSnapshot(r *rig, change func(c *route.Config)) watch.Snapshot {
 	config := *r.source.snapshot.Config
 	config.Version++
 	config.Routes = slices.Clone(config.Routes)
@@ -175,7 +175,7 @@
 	return watch.Snapshot{Config: &config, Replicas: r.source.snapshot.Replicas}
 }
 
-func TestARequestThatFailsAtEachReplicaBlamesNone(t *testing.T) {
+func TestRequestFailingEverywhereBlamesNoReplica(t *testing.T) {
 	failing := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 	first, arrivals := replica(t, failing)
 	second, arrivalsToo := replica(t, failing)
@@ -188,8 +188,8 @@
 	assert.False(t, r.front.balancer.Suspected("r1", time.Now()))
 }
 
-func TestALateSecondAnswerIsNoOtherRequestsAnswer(t *testing.T) {
-	// The answer to the second request comes after one more to the first.
+func TestDuplicateAnswerNotTakenForNextRequest(t *testing.T) {
+	// The answer to the second request follows a duplicate answer to the first.
 	address, _ := rawReplica(t, whole("id-1", "first"), whole("id-1", "first")+whole("id-2", "second"))
 	r := newRig(t, address)
 	_, text, err := r.send(t, "POST", "/single/", "")
@@ -200,7 +200,7 @@
 	assert.Equal(t, "second", text)
 }
 
-func TestAnAnswerThatEndsEarlyDoesNotLookComplete(t *testing.T) {
+func TestTruncatedAnswerNotComplete(t *testing.T) {
 	for name, answer := range map[string]string{
 		"with a length": "HTTP/1.1 200 OK\r\nTry: id-1\r\nContent-Length: 100\r\n\r\nhalf!",
 		"in chunks":     "HTTP/1.1 200 OK\r\nTry: id-1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n!",
@@ -213,14 +213,14 @@
 	}
 }
 
-func TestAnAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestAnswerWithoutLengthEndsAtClose(t *testing.T) {
 	address, _ := rawReplica(t, "HTTP/1.1 200 OK\r\nTry: id-1\r\n\r\nall of it!")
 	_, text, err := newRig(t, address).send(t, "POST", "/single/", "")
 	require.NoError(t, err)
 	assert.Equal(t, "all of it", text)
 }
 
-func TestTheReplicaLearnsThatTheCallerLeft(t *testing.T) {
+func TestCallerDisconnectReachesReplica(t *testing.T) {
 	begun, left := make(chan struct{}), make(chan struct{})
 	address, _ := replica(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -243,7 +243,7 @@
 	<-left
 }
 
-func TestTheRoutesTimeIsKept(t *testing.T) {
+func TestRouteTimeoutEnforced(t *testing.T) {
 	address, _ := replica(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -253,7 +253,7 @@
 	assert.Equal(t, http.StatusGatewayTimeout, response.StatusCode, "it may have run")
 }
 
-func TestTheLastAnswerOfAConnectionWhileStopping(t *testing.T) {
+func TestAnswerClosesConnectionDuringShutdown(t *testing.T) {
 	address, _ := replica(t, func(http.ResponseWriter, *http.Request) {})
 	r := newRig(t, address)
 	r.front.BeginShutdown(time.Now(), time.Now().Add(time.Hour))
@@ -262,7 +262,7 @@
 	assert.True(t, response.Close)
 }
 
-func TestARepeatableRequestThatHangsGoesElsewhere(t *testing.T) {
+func TestHungRepeatableRequestRetried(t *testing.T) {
 	var asked atomic.Int32
 	serve := func(_ http.ResponseWriter, r *http.Request) {
 		if asked.Add(1) == 1 {
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -7,16 +7,16 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Metrics are the figures of a front. Times are in milliseconds. Names follow
+// Metrics are the metrics of a Front. Times are in milliseconds. Names follow
 // croftyard.PART.WHAT[_UNIT][.LABEL]; docs/METRICS.md lists them.
 type Metrics struct {
 	Registry          gometrics.Registry
 	Retries           gometrics.Counter
 	ConnectionsOpened gometrics.Counter
-	// PoisonRefusals counts refusals of requests that are taken to crash what runs them.
+	// PoisonRefusals counts refusals of requests that are suspected to crash replicas.
 	PoisonRefusals gometrics.Counter
-	// DrainingAnswers and Resting count answers by which replicas announced their shutdown and
-	// asked for rest.
+	// DrainingAnswers counts answers that announced the replica's shutdown, RestingAnswers
+	// those that asked for a rest.
 	DrainingAnswers gometrics.Counter
 	RestingAnswers  gometrics.Counter
 	TimeToFirstByte gometrics.Histogram
@@ -27,17 +27,17 @@
 }
 
 const (
-	// sampleSize is how many values a histogram keeps.
+	// sampleSize is the number of values that a histogram keeps.
 	sampleSize = 512
-	// routeSampleSize is the same for one of a single route.
+	// routeSampleSize is the same for the histograms of a single route.
 	routeSampleSize = 64
-	// maxRoutes bounds the routes that have histograms of their own; the others
-	// share one.
+	// maxRoutes bounds the number of routes with histograms of their own. The others share
+	// one.
 	maxRoutes   = 32
 	otherRoutes = "other"
 )
 
-// NewMetrics returns figures in a registry of their own.
+// NewMetrics returns metrics in a new registry.
 func NewMetrics() *Metrics {
 	r := gometrics.NewRegistry()
 	return &Metrics{
@@ -53,7 +53,7 @@
 	}
 }
 
-// RecordRequest counts a call by its route and how it ended.
+// RecordRequest counts a request by its route and outcome.
 func (m *Metrics) RecordRequest(route, outcome string, took, first time.Duration, begun bool) {
 	gometrics.GetOrRegisterCounter("croftyard.front.requests."+outcome, m.Registry).Inc(1)
 	m.Duration.Update(took.Milliseconds())
--- a/internal/front/outgoing.go
+++ b/internal/front/outgoing.go
@@ -45,11 +45,11 @@
 	}
 }
 
-// lastEventHeader is the standard's header for taking a stream up again.
+// lastEventHeader is the standard header for resuming an event stream.
 const lastEventHeader = "Last-Event-Id"
 
-// priority is that of the organisation, else that of the route, within what a
-// replica takes.
+// priority returns the organisation's priority, or else the route's, clamped to the range
+// that replicas accept.
 func (c *call) priority() int {
 	const lowest = 9
 	p := c.route.Priority
--- a/internal/front/stop.go
+++ b/internal/front/stop.go
@@ -51,7 +51,7 @@
 	if r.Kind == route.Stream && !now.Before(s.late) {
 		margin = lateMargin
 	}
-	longest, known := f.longest.Max(r.Name, now)
+	longest, known := f.longestDurations.Max(r.Name, now)
 	if known && now.Add(time.Duration(float64(longest)*margin)).Before(s.cut) {
 		return nil
 	}
--- a/internal/front/stop_test.go
+++ b/internal/front/stop_test.go
@@ -32,7 +32,7 @@
 			r := newRig(t, address)
 			now := time.Now()
 			if test.longest > 0 {
-				r.front.longest.Record(strings.Trim(test.path, "/"), test.longest, now)
+				r.front.longestDurations.Record(strings.Trim(test.path, "/"), test.longest, now)
 			}
 			r.front.BeginShutdown(now.Add(test.lateIn), now.Add(test.cutIn))
 			response, _, err := r.send(t, "POST", test.path, "")
