--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -63,7 +63,7 @@
 		case attemptFinished:
 			return
 		case attemptGiveUp:
-			c.giveUp(c.unavailable(c.outcome.reason))
+			c.giveUp(c.refuseUnavailable(c.outcome.reason))
 			return
 		}
 	}
@@ -73,12 +73,12 @@
 // of the replica that it would otherwise go to, if there is one.
 func (c *call) refuseNoReplica(x directory.Exclusion) *refusal {
 	if c.evacuated() {
-		return c.unavailable("evacuated")
+		return c.refuseUnavailable("evacuated")
 	}
 	if x.Reason != "" {
-		return c.unavailable("no replica: " + string(x.Reason))
+		return c.refuseUnavailable("no replica: " + string(x.Reason))
 	}
-	return c.unavailable("no replica")
+	return c.refuseUnavailable("no replica")
 }
 
 // evacuated reports whether all replicas of the service are evacuated, so that waiting is
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -113,7 +113,7 @@
 	probes singleflight.Group
 	broken brokenRequests
 	// inFlight are the calls in progress.
-	inFlight inFlight
+	inFlight inFlightCalls
 }
 
 // New returns a Front.
--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -11,7 +11,7 @@
 	"github.com/croftyard/croftyard/pkg/balance"
 )
 
-// handleAnswer handles an answer whose head has come.
+// handleAnswer handles an answer whose head has arrived.
 func (c *call) handleAnswer(ctx context.Context, cancel context.CancelCauseFunc, choice balance.Choice, answer *upstream.Answer) attemptResult {
 	d := &c.front.options.Dialect
 	id := choice.Replica.ID
@@ -31,7 +31,7 @@
 	if c.front.balancer.RequestSucceeded(id, c.parts, steady.Now()) {
 		c.front.log.Write(event.EngineBack, event.F("replica", id), event.F("request", c.id))
 	}
-	c.blameReplicas()
+	c.reportFailedReplicas()
 	return c.forward(ctx, cancel, choice, answer)
 }
 
@@ -42,7 +42,8 @@
 	return balance.Shed
 }
 
-// handleReplicaError handles a replica's own 5xx: what it did is not known.
+// handleReplicaError handles a replica's own 5xx, after which it is unknown what the replica
+// did.
 func (c *call) handleReplicaError(ctx context.Context, cancel context.CancelCauseFunc, choice balance.Choice, answer *upstream.Answer) attemptResult {
 	c.outcome.reason = "replica's error " + strconv.Itoa(answer.StatusCode)
 	if c.headSent {
@@ -59,23 +60,23 @@
 		c.front.reportFailure(c.id, choice.Replica.ID, balance.Errored)
 	}
 	if impliesNotRun(answer.StatusCode) {
-		// Without the mark of not having run, its promise may not be passed on.
+		// Without the NotExecuted header, a status that implies it may not be forwarded.
 		drainBody(answer)
 		return attemptGiveUp
 	}
 	return c.forward(ctx, cancel, choice, answer)
 }
 
-// blameReplicas reports the replicas that failed a request which another one answered.
-// A request that fails at each replica is itself at fault.
-func (c *call) blameReplicas() {
+// reportFailedReplicas reports the replicas that failed a request which another one answered.
+// If a request fails at every replica, the request itself is at fault.
+func (c *call) reportFailedReplicas() {
 	for _, id := range c.failedReplicas {
 		c.front.reportFailure(c.id, id, balance.Errored)
 	}
 	c.failedReplicas = nil
 }
 
-// impliesNotRun tells whether a status says that a request has not run.
+// impliesNotRun reports whether a status implies that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
--- a/internal/front/resumed_test.go
+++ b/internal/front/suspension_test.go
@@ -13,15 +13,16 @@
 	"github.com/croftyard/croftyard/internal/watch"
 )
 
-// A machine was suspended for ten seconds: what its router had known before counted as new.
-func TestNothingIsSentByWhatWasKnownBeforeASuspension(t *testing.T) {
+// Guards against treating what was known before a suspension of the machine, of ten seconds,
+// as new.
+func TestKnowledgeBeforeSuspensionIsStale(t *testing.T) {
 	address, arrivals := replica(t, func(w http.ResponseWriter, _ *http.Request) {})
 	r := newRig(t, address)
 	limits := *r.front.limits.Load()
 	limits.MaxKeyProofAge, limits.MaxAbsenceProofAge, limits.MaxListAge = 4*time.Second, 1600*time.Millisecond, 1600*time.Millisecond
 	r.front.SetLimits(limits)
 	r.source.fallSilent()
-	// A source that answers nobody is asked again when the router's turn has come.
+	// A source that answers nobody is read again only once the router's period has passed.
 	r.watcher.Reconfigure(r.source, watch.Options{Period: 200 * time.Millisecond, Timeout: time.Second})
 	defer steady.Pretend(10 * time.Second)()
 	for _, path := range []string{"/single/x", "/open/x", "/unknown/x"} {
@@ -36,13 +37,13 @@
 	require.NoError(t, r.watcher.WaitFresh(t.Context(), steady.Now().Add(-time.Second)))
 	answer, _, err := r.send(t, http.MethodPost, "/single/x", "body")
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusOK, answer.StatusCode, "proven again")
+	assert.Equal(t, http.StatusOK, answer.StatusCode, "confirmed again")
 }
 
-// inFlightWhile has a request in flight at a replica, with half a minute of time, while
-// the machine seems to be suspended, and returns how it is answered. finish lets the
-// replica answer; without it that waits until it is left.
-func inFlightWhile(t *testing.T, suspended time.Duration, finish chan struct{}) (status int, r *rig) {
+// suspendInFlight simulates a suspension of the machine while a request with 30 s of time is
+// in flight, and returns its status. Closing finish lets the replica answer; if finish is nil,
+// the replica waits until its caller leaves.
+func suspendInFlight(t *testing.T, suspended time.Duration, finish chan struct{}) (status int, r *rig) {
 	t.Helper()
 	begun := make(chan struct{})
 	address, _ := replica(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -72,15 +73,15 @@
 	return <-answered, r
 }
 
-func TestARequestWhoseTimeRanOutMeanwhileIsAnsweredAtOnce(t *testing.T) {
-	status, _ := inFlightWhile(t, 40*time.Second, nil)
+func TestRequestExpiredDuringSuspensionAnsweredAtOnce(t *testing.T) {
+	status, _ := suspendInFlight(t, 40*time.Second, nil)
 	assert.Equal(t, http.StatusGatewayTimeout, status)
 }
 
-func TestARequestThatStillHasTimeIsNotEndedByASuspension(t *testing.T) {
-	status, r := inFlightWhile(t, 5*time.Second, make(chan struct{}))
+func TestSuspensionKeepsUnexpiredRequest(t *testing.T) {
+	status, r := suspendInFlight(t, 5*time.Second, make(chan struct{}))
 	assert.Equal(t, http.StatusOK, status)
-	// The call is taken out when its handler has returned, a moment after the answer.
+	// The call is removed when its handler returns, shortly after the answer.
 	for {
 		r.front.inFlight.mu.Lock()
 		left := len(r.front.inFlight.calls)
--- a/internal/front/wait_test.go
+++ b/internal/front/wait_test.go
@@ -162,7 +162,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f, one := idle(600*time.Millisecond, &fakeSource{err: errors.New("down")})
 				c.prepare(f)
-				refused := one.unavailable("no replica")
+				refused := one.refuseUnavailable("no replica")
 				assert.Equal(t, c.after, refused.retryAfter)
 				assert.Equal(t, http.StatusServiceUnavailable, refused.status)
 			})
