--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -147,7 +147,7 @@
 		c.front.balancer.RecordDuration(id, steady.Since(sent))
 	}
 	c.sent.Add(1)
-	c.front.noteStatements(c.id, id, sent, answer.Response)
+	c.front.recordStatements(c.id, id, sent, answer.Response)
 	return c.handleAnswer(ctx, cancel, choice, answer)
 }
 
--- a/internal/front/statements.go
+++ b/internal/front/statements.go
@@ -9,15 +9,16 @@
 	"github.com/croftyard/croftyard/internal/steady"
 )
 
-// noteStatements records what an answer to a request sent at a time says of its replica.
-func (f *Front) noteStatements(request, id string, sent time.Time, answer *http.Response) {
+// recordStatements records what an answer says about its replica. sent is when the request
+// was sent.
+func (f *Front) recordStatements(request, id string, sent time.Time, answer *http.Response) {
 	now, statements := steady.Now(), f.watcher.Statements()
 	if answer.Close {
 		statements.ForgetServing(id)
 		f.watcher.MarkDraining(id)
 	}
 	if answer.StatusCode == http.StatusMisdirectedRequest {
-		// Another replica stands at the address now.
+		// The address now belongs to another replica.
 		return
 	}
 	leaves := announcesShutdown(answer.Header.Get(f.options.Dialect.ShuttingDown))
@@ -27,21 +28,21 @@
 			f.log.Write(event.ReplicaDraining, event.F("replica", id), event.F("request", request), event.F("status", answer.StatusCode))
 		}
 	}
-	f.noteRest(request, id, sent, answer)
+	f.recordRest(request, id, sent, answer)
 	if !leaves && !answer.Close && answer.StatusCode < http.StatusInternalServerError {
 		statements.MarkServing(id, sent, now)
 	}
 }
 
-// RecordRest records a rest that an answer to a question of the router's own asks for. That
-// the answer is the replica's own is less certain than that of a request that names it, so
-// an announced shutdown, which binds for as long as the replica runs, is not taken from it.
+// RecordRest records a rest that an answer to one of the router's own queries asks for. Such
+// an answer is less certain to come from the replica than that to a request which names it,
+// so an announced shutdown, which holds until the replica restarts, is not taken from it.
 func (f *Front) RecordRest(id string, sent time.Time, answer *http.Response) {
-	f.noteRest("", id, sent, answer)
+	f.recordRest("", id, sent, answer)
 }
 
-// noteRest records that an answer asks for no further requests for a time.
-func (f *Front) noteRest(request, id string, sent time.Time, answer *http.Response) {
+// recordRest records that an answer asks for no further requests for a time.
+func (f *Front) recordRest(request, id string, sent time.Time, answer *http.Response) {
 	rest := retryafter.Rest(answer, time.Now())
 	if rest == 0 {
 		return
@@ -55,17 +56,17 @@
 	f.balancer.RestUntil(id, until)
 }
 
-// announcesShutdown tells whether the value of the header says so.
+// announcesShutdown reports whether a value of the ShuttingDown header announces a shutdown.
 func announcesShutdown(value string) bool { return value != "" && value != "0" }
 
-// maxLogged is how many of the replicas that were passed over a line names.
-const maxLogged = 4
+// maxLoggedExclusions bounds the excluded replicas named in a log line.
+const maxLoggedExclusions = 4
 
-// exclusionFields tell which replicas of the service got nothing, and why.
+// exclusionFields returns the log field with the service's excluded replicas and the reasons.
 func (c *call) exclusionFields() []event.Field {
 	var excluded []string
 	for _, x := range c.excluded {
-		if len(excluded) < maxLogged {
+		if len(excluded) < maxLoggedExclusions {
 			excluded = append(excluded, x.ID+": "+string(x.Reason))
 		}
 	}
@@ -75,7 +76,8 @@
 	return []event.Field{event.F("excluded", excluded)}
 }
 
-// statementFields tell what a replica said of itself before it was chosen.
+// statementFields returns the log fields with what a replica had said about itself when it
+// was chosen.
 func (f *Front) statementFields(id string, now time.Time) []event.Field {
 	var fields []event.Field
 	said := f.watcher.Statements().Get(id)
--- a/internal/front/statements_test.go
+++ b/internal/front/statements_test.go
@@ -20,30 +20,30 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// statingReplica answers 200, or as the test sets, and counts arrivals.
-type statingReplica struct {
+// scriptedReplica answers 200 or as set by the test, and counts requests.
+type scriptedReplica struct {
 	address  string
 	arrivals *atomic.Int32
 	answer   atomic.Pointer[http.HandlerFunc]
 }
 
-func newStatingReplica(t *testing.T) *statingReplica {
+func newScriptedReplica(t *testing.T) *scriptedReplica {
 	t.Helper()
-	r := &statingReplica{}
-	r.does(answerOK)
+	r := &scriptedReplica{}
+	r.setAnswer(answerOK)
 	r.address, r.arrivals = replica(t, func(w http.ResponseWriter, q *http.Request) { (*r.answer.Load())(w, q) })
 	return r
 }
 
-func (r *statingReplica) does(answer http.HandlerFunc) { r.answer.Store(&answer) }
+func (r *scriptedReplica) setAnswer(answer http.HandlerFunc) { r.answer.Store(&answer) }
 
 func answerLeaving(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Leaving", "1")
 	fmt.Fprint(w, "ok")
 }
 
-// answerResting turns a request away and asks for rest, with the mark of not having run
-// or without.
+// answerResting refuses a request and asks for a rest, with or without the header that says
+// that the request has not run.
 func answerResting(retryAfter string, marked bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", retryAfter)
@@ -54,13 +54,13 @@
 	}
 }
 
-// later lets so much time seem to pass until the test ends.
-func later(t *testing.T, d time.Duration) {
+// advanceClock advances the apparent time by d until the test ends.
+func advanceClock(t *testing.T, d time.Duration) {
 	t.Helper()
 	t.Cleanup(steady.Pretend(d))
 }
 
-// sendMany sends requests and returns how many were served.
+// sendMany sends n requests and returns how many were served.
 func (r *rig) sendMany(t *testing.T, n int) (served int) {
 	t.Helper()
 	for range n {
@@ -73,8 +73,8 @@
 	return served
 }
 
-// sendUntil sends requests until a replica has had one.
-func (r *rig) sendUntil(t *testing.T, has *statingReplica) {
+// sendUntil sends requests until the replica has received one.
+func (r *rig) sendUntil(t *testing.T, has *scriptedReplica) {
 	t.Helper()
 	const most = 1000
 	for n := 0; has.arrivals.Load() == 0; n++ {
@@ -86,9 +86,9 @@
 
 const manyRequests = 40
 
-// Guards against work for a replica whose answer announced its shutdown, past the time to
-// drain, whatever the list says of it and whether or not a list can be read.
-func TestAReplicaThatAnnouncedItsShutdownGetsNothingPastTheBound(t *testing.T) {
+// Guards against requests to a replica whose answer announced its shutdown, past the drain
+// time, whatever the list says about it and whether or not a list can be read.
+func TestShutdownAnnouncementExcludesReplica(t *testing.T) {
 	tests := map[string]func(t *testing.T, r *rig){
 		"listed as ready": func(t *testing.T, r *rig) { r.list(t) },
 		"listed by an older read": func(t *testing.T, r *rig) {
@@ -108,12 +108,12 @@
 	}
 	for name, happens := range tests {
 		t.Run(name, func(t *testing.T) {
-			leaves, stays := newStatingReplica(t), newStatingReplica(t)
+			leaves, stays := newScriptedReplica(t), newScriptedReplica(t)
 			r := newRig(t, leaves.address, stays.address)
 			r.setListProof(testListProof)
-			leaves.does(answerLeaving)
+			leaves.setAnswer(answerLeaving)
 			r.sendUntil(t, leaves)
-			later(t, testListProof)
+			advanceClock(t, testListProof)
 			happens(t, r)
 			assert.Equal(t, manyRequests, r.sendMany(t, manyRequests))
 			assert.Zero(t, leaves.arrivals.Load())
@@ -121,28 +121,28 @@
 	}
 }
 
-// Guards against refusing what the last replica of a service can still serve, and against
-// sending to it past the time to drain.
-func TestTheLastReplicaServesOnAfterItsAnnouncementUntilTheBound(t *testing.T) {
-	leaves := newStatingReplica(t)
+// Guards against refusing requests that the last replica of a service can still serve, and
+// against sending to it past the drain time.
+func TestLastReplicaServesUntilDrainBound(t *testing.T) {
+	leaves := newScriptedReplica(t)
 	r := newRig(t, leaves.address)
 	r.setListProof(testListProof)
-	leaves.does(answerLeaving)
+	leaves.setAnswer(answerLeaving)
 	r.sendUntil(t, leaves)
-	later(t, testListProof/2)
+	advanceClock(t, testListProof/2)
 	assert.Equal(t, manyRequests, r.sendMany(t, manyRequests), "within the bound")
 	leaves.arrivals.Store(0)
-	later(t, testListProof/2)
+	advanceClock(t, testListProof/2)
 	r.wantNotRun(t)
 	assert.Zero(t, leaves.arrivals.Load())
 }
 
-// Guards against leaving out a replica that started again under its id after it had
-// announced its shutdown, or asked for rest.
-func TestAReplicaThatStartedAgainIsNotBoundByItsEarlierStatements(t *testing.T) {
+// Guards against excluding a replica that restarted under its id after it announced its
+// shutdown or asked for a rest.
+func TestRestartedReplicaServesAgain(t *testing.T) {
 	for name, says := range map[string]http.HandlerFunc{"shutdown": answerLeaving, "rest": answerResting("1e9", true)} {
 		t.Run(name, func(t *testing.T) {
-			leaves, stays := newStatingReplica(t), newStatingReplica(t)
+			leaves, stays := newScriptedReplica(t), newScriptedReplica(t)
 			r := newRig(t, leaves.address, stays.address)
 			r.setListProof(testListProof)
 			started := func(born int64) {
@@ -154,21 +154,22 @@
 				require.NoError(t, r.watcher.ApplySnapshot(snapshot, steady.Now()))
 			}
 			started(1)
-			leaves.does(says)
+			leaves.setAnswer(says)
 			r.sendUntil(t, leaves)
-			leaves.does(answerOK)
-			later(t, testListProof)
+			leaves.setAnswer(answerOK)
+			advanceClock(t, testListProof)
 			started(2)
 			r.sendUntil(t, leaves)
 		})
 	}
 }
 
-// Guards against what a replica of another id says at an address that was given to it.
-func TestAnAnswerThatIsMisdirectedSaysNothingOfTheReplicaMeant(t *testing.T) {
-	other := newStatingReplica(t)
+// Guards against taking statements of a replica that now has the address for those of the
+// replica that had it before.
+func TestMisdirectedAnswerIsNoStatement(t *testing.T) {
+	other := newScriptedReplica(t)
 	r := newRig(t, other.address)
-	other.does(func(w http.ResponseWriter, _ *http.Request) {
+	other.setAnswer(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Leaving", "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	})
@@ -176,9 +177,9 @@
 	assert.Zero(t, r.watcher.Statements().Get("r0"))
 }
 
-// Guards against requests to a replica during a rest that it asked for, and against none
-// after it.
-func TestAReplicaThatAskedForRestIsLeftAloneUntilItsEnd(t *testing.T) {
+// Guards against requests to a replica during a rest that it asked for, and against sending
+// none after it.
+func TestRestingReplicaExcludedUntilEnd(t *testing.T) {
 	tests := map[string]struct {
 		retryAfter string
 		marked     bool
@@ -191,23 +192,23 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			rests, serves := newStatingReplica(t), newStatingReplica(t)
+			rests, serves := newScriptedReplica(t), newScriptedReplica(t)
 			r := newRig(t, rests.address, serves.address)
-			rests.does(answerResting(test.retryAfter, test.marked))
+			rests.setAnswer(answerResting(test.retryAfter, test.marked))
 			r.sendUntil(t, rests)
-			later(t, test.rest-time.Second)
+			advanceClock(t, test.rest-time.Second)
 			r.list(t)
 			assert.Equal(t, manyRequests, r.sendMany(t, manyRequests), "the other replica serves")
 			assert.Zero(t, rests.arrivals.Load())
-			rests.does(answerOK)
-			later(t, 2*time.Second)
+			rests.setAnswer(answerOK)
+			advanceClock(t, 2*time.Second)
 			r.sendUntil(t, rests)
 		})
 	}
 }
 
-// Guards against a replica's rest that a shorter one ends which was asked for later.
-func TestOfSeveralRestsTheLatestEndHolds(t *testing.T) {
+// Guards against a rest that ends early because a shorter one was asked for later.
+func TestLatestRestEndHolds(t *testing.T) {
 	now := steady.Now()
 	s := directory.NewStatements()
 	assert.True(t, s.MarkResting("a", now, now.Add(5*time.Second), now))
@@ -215,16 +216,16 @@
 	assert.Equal(t, now.Add(5*time.Second), s.Get("a").RestUntil)
 }
 
-// Guards against holding a request, or telling its caller a wrong time to come back, while
-// all replicas of its service rest, and against all callers coming back at one moment.
-func TestWhileAllReplicasRestCallersAreToldTheFirstEnd(t *testing.T) {
-	first, second := newStatingReplica(t), newStatingReplica(t)
+// Guards against holding a request, or sending a wrong Retry-After, while all replicas of its
+// service rest, and against all callers retrying at once.
+func TestRetryAfterWhileAllReplicasRest(t *testing.T) {
+	first, second := newScriptedReplica(t), newScriptedReplica(t)
 	r := newRig(t, first.address, second.address)
-	first.does(answerResting("40", true))
-	second.does(answerResting("80", true))
+	first.setAnswer(answerResting("40", true))
+	second.setAnswer(answerResting("80", true))
 	r.sendUntil(t, first)
 	r.sendUntil(t, second)
-	later(t, 10*time.Second)
+	advanceClock(t, 10*time.Second)
 	told := make(map[string]bool)
 	for range manyRequests {
 		response, _, err := r.send(t, "POST", "/repeat/x", "")
@@ -240,9 +241,9 @@
 	assert.Zero(t, first.arrivals.Load()+second.arrivals.Load())
 }
 
-// Guards against a request that waits for its connection while the replica says that it
-// leaves, or asks for rest.
-func TestAStatementThatComesWhileARequestIsConnectedHoldsItBack(t *testing.T) {
+// Guards against writing a request whose replica announces its shutdown or asks for a rest
+// while the connection is opened.
+func TestStatementDuringConnectPreventsWrite(t *testing.T) {
 	for name, says := range map[string]func(s *directory.Statements){
 		"shutdown": func(s *directory.Statements) { s.MarkDraining("r0", steady.Now(), steady.Now()) },
 		"rest": func(s *directory.Statements) {
@@ -250,7 +251,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			replica, other := newStatingReplica(t), newStatingReplica(t)
+			replica, other := newScriptedReplica(t), newScriptedReplica(t)
 			r := newRig(t, replica.address, other.address)
 			r.setListProof(testListProof)
 			r.onceConnected(func() {
@@ -264,22 +265,22 @@
 	}
 }
 
-// Guards against requests to a replica that asked for rest where the router asked it a
-// question of its own, and against taking its announcement of a shutdown from there.
-func TestARestAskedInAnAnswerToTheRoutersOwnQuestionHolds(t *testing.T) {
-	rests, serves := newStatingReplica(t), newStatingReplica(t)
+// Guards against ignoring a rest that the answer to a query of the router's own asks for, and
+// against taking an announced shutdown from such an answer.
+func TestRestFromRouterQueryHolds(t *testing.T) {
+	rests, serves := newScriptedReplica(t), newScriptedReplica(t)
 	r := newRig(t, rests.address, serves.address)
 	header := http.Header{"Retry-After": {"100"}, "Leaving": {"1"}}
 	r.front.RecordRest("r0", steady.Now(), &http.Response{StatusCode: http.StatusServiceUnavailable, Header: header})
 	assert.Equal(t, manyRequests, r.sendMany(t, manyRequests))
 	assert.Zero(t, rests.arrivals.Load())
-	later(t, 101*time.Second)
+	advanceClock(t, 101*time.Second)
 	r.sendUntil(t, rests)
 }
 
-// Guards against a log that does not tell which replicas were passed over, and why.
-func TestAChoiceTellsWhichReplicasAreExcluded(t *testing.T) {
-	serves := newStatingReplica(t)
+// Guards against a log that omits which replicas were excluded, and why.
+func TestChoiceLogNamesExclusions(t *testing.T) {
+	serves := newScriptedReplica(t)
 	r := newRig(t, "127.0.0.1:1", serves.address, "127.0.0.1:2")
 	var written bytes.Buffer
 	r.front.log = event.New(&written, "here", logrus.InfoLevel)
