--- a/internal/front/result.go
+++ b/internal/front/result.go
@@ -11,7 +11,7 @@
 	"github.com/croftyard/croftyard/pkg/balance"
 )
 
-// handleAnswer handles an answer whose head has come.
+// handleAnswer handles an answer whose head has arrived.
 func (c *call) handleAnswer(ctx context.Context, cancel context.CancelCauseFunc, choice balance.Choice, answer *upstream.Answer) attemptResult {
 	d := &c.front.options.Dialect
 	id := choice.Replica.ID
@@ -19,7 +19,7 @@
 		c.front.balancer.LoadReported(id, load, steady.Now())
 	}
 	if answer.Header.Get(d.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest {
-		drain(answer)
+		drainBody(answer)
 		c.outcome.reason = "not taken: " + strconv.Itoa(answer.StatusCode)
 		c.front.reportFailure(c.id, id, rejectionKind(answer.StatusCode))
 		return c.retry(c.outcome.reason)
@@ -31,7 +31,7 @@
 	if c.front.balancer.RequestSucceeded(id, c.parts, steady.Now()) {
 		c.front.log.Write(event.EngineBack, event.F("replica", id), event.F("request", c.id))
 	}
-	c.blameReplicas()
+	c.reportFailedReplicas()
 	return c.forward(ctx, cancel, choice, answer)
 }
 
@@ -42,40 +42,41 @@
 	return balance.Shed
 }
 
-// handleReplicaError handles a replica's own 5xx: what it did is not known.
+// handleReplicaError handles a replica's own 5xx, after which it is unknown what the replica
+// did.
 func (c *call) handleReplicaError(ctx context.Context, cancel context.CancelCauseFunc, choice balance.Choice, answer *upstream.Answer) attemptResult {
 	c.outcome.reason = "replica's error " + strconv.Itoa(answer.StatusCode)
-	if c.begun {
+	if c.headSent {
 		c.front.reportFailure(c.id, choice.Replica.ID, balance.Errored)
-		drain(answer)
+		drainBody(answer)
 		return c.retry(c.outcome.reason)
 	}
-	if !c.route.RunsOnce() && steady.Until(c.end) > c.route.Target/2 && c.retry(c.outcome.reason) == attemptRetry {
+	if !c.route.RunsOnce() && steady.Until(c.deadline) > c.route.Target/2 && c.retry(c.outcome.reason) == attemptRetry {
 		c.failedReplicas = append(c.failedReplicas, choice.Replica.ID)
-		drain(answer)
+		drainBody(answer)
 		return attemptRetry
 	}
 	if len(c.failedReplicas) == 0 {
 		c.front.reportFailure(c.id, choice.Replica.ID, balance.Errored)
 	}
 	if impliesNotRun(answer.StatusCode) {
-		// Without the mark of not having run, its promise may not be passed on.
-		drain(answer)
+		// Without the NotExecuted header, a status that implies it may not be forwarded.
+		drainBody(answer)
 		return attemptGiveUp
 	}
 	return c.forward(ctx, cancel, choice, answer)
 }
 
-// blameReplicas reports the replicas that failed a request which another one answered.
-// A request that fails at each replica is itself at fault.
-func (c *call) blameReplicas() {
+// reportFailedReplicas reports the replicas that failed a request which another one answered.
+// If a request fails at every replica, the request itself is at fault.
+func (c *call) reportFailedReplicas() {
 	for _, id := range c.failedReplicas {
 		c.front.reportFailure(c.id, id, balance.Errored)
 	}
 	c.failedReplicas = nil
 }
 
-// impliesNotRun tells whether a status says that a request has not run.
+// impliesNotRun reports whether a status implies that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
