--- a/internal/watch/apply.go
+++ b/internal/watch/apply.go
@@ -71,8 +71,8 @@
 }
 
 // centreEvent returns the event for a change of a data centre.
-func centreEvent(what directory.ChangeKind) event.ID {
-	if what == directory.Evacuated {
+func centreEvent(kind directory.ChangeKind) event.ID {
+	if kind == directory.Evacuated {
 		return event.CentreEvacuated
 	}
 	return event.CentreReturned
--- a/internal/watch/generation.go
+++ b/internal/watch/generation.go
@@ -78,7 +78,7 @@
 		w.log.Write(event.SourceUntold, event.F("generation", w.sourceState.generation))
 	}
 	w.sourceState.generationMissing = s.GenerationMissing
-	fell := s.RevisionDrops > w.sourceState.revisionDrops
+	restored := s.RevisionDrops > w.sourceState.revisionDrops
 	w.sourceState.revisionDrops = s.RevisionDrops
 	if w.isPastGeneration(s.Generation) {
 		w.log.Write(event.SourcePast, event.F("generation", s.Generation), event.F("known", w.sourceState.generation))
@@ -88,7 +88,7 @@
 	if later {
 		w.sourceState.generation, w.sourceState.knownSince = s.Generation, steady.Now()
 	}
-	if (later || fell) && !w.directory.ReadTime().IsZero() {
+	if (later || restored) && !w.directory.ReadTime().IsZero() {
 		w.rewind(sent, w.directory.HoldPeriod())
 	}
 	return nil
--- a/internal/watch/generation_test.go
+++ b/internal/watch/generation_test.go
@@ -95,7 +95,8 @@
 	assert.EqualValues(t, 2, f.log.Count(event.SourceUntold))
 }
 
-// exchangeKnowledge lets each router learn from every other one what it lacks, as in production.
+// exchangeKnowledge lets each router learn from every other one what it lacks, as in
+// production.
 func exchangeKnowledge(t *testing.T, routers ...*Watcher) {
 	t.Helper()
 	for _, learner := range routers {
@@ -202,12 +203,12 @@
 	require.NoError(t, late.ApplySnapshot(listOf(1, 4, list), now))
 	require.NoError(t, f.ApplySnapshot(listOf(1, 4, draining(list, 0)), now.Add(-time.Second)))
 	require.NoError(t, f.ApplySnapshot(listOf(2, 4, draining(list, 0)), now.Add(-time.Second)))
-	assert.False(t, f.ApplyPeerProof(late.Digest(), now.Add(time.Second)), "a later proof of an earlier life")
+	assert.False(t, f.ApplyPeerProof(late.Digest(), now.Add(time.Second)), "a later proof of an earlier generation")
 	assert.False(t, f.Behind(late.Digest(), now.Add(time.Second)))
 	k, _ := late.Knowledge(KnowledgeRequest{}, now)
 	f.ApplyKnowledge(k, now.Add(time.Second), now.Add(time.Second), "peer")
 	assert.False(t, f.Ready("a"))
 	assert.EqualValues(t, 2, f.Digest().Generation)
-	assert.True(t, late.ApplyPeerProof(f.Digest(), now.Add(-time.Hour)), "an earlier proof of a later life is worth asking for")
+	assert.True(t, late.ApplyPeerProof(f.Digest(), now.Add(-time.Hour)), "an earlier proof of a later generation is requested")
 	assert.True(t, late.Behind(f.Digest(), now.Add(-time.Hour)))
 }
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -157,21 +157,23 @@
 
 // applyListing applies another router's list with the given hash. If a list assembled
 // from parts has another hash, the next one is requested whole. w.mu is held.
-func (w *Watcher) applyListing(l directory.Listing, mark uint64, proven time.Time) {
+func (w *Watcher) applyListing(l directory.Listing, listHash uint64, proven time.Time) {
 	w.handleChanges(w.directory.Apply(w.directory.FillStartTimes(l), proven))
-	w.needsWholeList = !w.matchesListHash(mark)
+	w.needsWholeList = !w.matchesListHash(listHash)
 }
 
 // matchesListHash reports whether a hash is that of the current list, in the format of
 // this build or of an older one. w.mu is held.
-func (w *Watcher) matchesListHash(mark uint64) bool { return mark == w.listHash || mark == w.plainHash }
+func (w *Watcher) matchesListHash(listHash uint64) bool {
+	return listHash == w.listHash || listHash == w.plainHash
+}
 
 // UsesPlainHash reports whether a router that sends the given hash of the list is of a
 // build without start times. known is false if the hash does not show it.
-func (w *Watcher) UsesPlainHash(mark uint64) (plain, known bool) {
+func (w *Watcher) UsesPlainHash(listHash uint64) (plain, known bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return mark == w.plainHash, w.listHash != w.plainHash && w.matchesListHash(mark)
+	return listHash == w.plainHash, w.listHash != w.plainHash && w.matchesListHash(listHash)
 }
 
 // PlainHash returns the hash of the list in the format of older builds.
--- a/internal/watch/unconfirmed_test.go
+++ b/internal/watch/unconfirmed_test.go
@@ -27,15 +27,15 @@
 // 0.9 s old.
 const (
 	partitionReadPeriod = 800 * time.Millisecond
-	// partitionMaxListAge is the maximum age of a list, cutGrace how long a replica that is missing
-	// with its list keeps its work.
+	// partitionMaxListAge is the maximum age of a list, partitionGracePeriod how long a
+	// replica that is missing with its list keeps its work.
 	partitionMaxListAge  = 1600 * time.Millisecond
 	partitionGracePeriod = 2400 * time.Millisecond
 	partitionLength      = 4500 * time.Millisecond
 )
 
-// newWatcherAfterPartition returns a router that was cut off from its source for a while and is
-// connected again. The first list that it reads names only the replicas in after.
+// newWatcherAfterPartition returns a router that was cut off from its source for a while
+// and is connected again. The first list that it reads names only the replicas in after.
 func newWatcherAfterPartition(t *testing.T, before, after []string) (*Watcher, *fakeSource) {
 	t.Helper()
 	source := &fakeSource{snapshot: Snapshot{Config: config(1), Replicas: replicasWithAddresses(before...)}}
--- a/internal/watch/updates_test.go
+++ b/internal/watch/updates_test.go
@@ -45,8 +45,8 @@
 
 		time.Sleep(time.Millisecond)
 		updates, _ = f.Updates()
-		mark := f.Digest().ListHash
-		f.ApplyKnowledge(Knowledge{Config: config(3), Version: 3, ListHash: mark}, time.Now(), time.Now(), "other")
+		listHash := f.Digest().ListHash
+		f.ApplyKnowledge(Knowledge{Config: config(3), Version: 3, ListHash: listHash}, time.Now(), time.Now(), "other")
 		assert.True(t, closed(updates), "from another router")
 	})
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -82,7 +82,7 @@
 }
 
 func TestFirstReadWaitsForPeers(t *testing.T) {
-	for name, told := range map[string]bool{"told": true, "not told": false} {
+	for name, told := range map[string]bool{"knowledge of a peer": true, "no knowledge": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
@@ -161,8 +161,8 @@
 	assert.Equal(t, 4*time.Second, f.Age(now.Add(5*time.Second)))
 	assert.Equal(t, 4*time.Second, f.Staleness(now.Add(5*time.Second)))
 
-	mark := f.Digest().ListHash
-	f.ApplyKnowledge(Knowledge{Version: 4, ListHash: mark}, now.Add(3*time.Second), now.Add(3*time.Second), "peer")
+	listHash := f.Digest().ListHash
+	f.ApplyKnowledge(Knowledge{Version: 4, ListHash: listHash}, now.Add(3*time.Second), now.Add(3*time.Second), "peer")
 	assert.Equal(t, 2*time.Second, f.Age(now.Add(5*time.Second)))
 }
 
--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -176,49 +176,49 @@
 		r.ColdUntil = d.coldUntil(r)
 		d.entries[r.ID] = &entry{replica: r, idHash: idHash(r.ID), hashes: hashContent(&r), lastListed: d.readTime, declaredDraining: d.declaresDraining(&r)}
 		d.statements.markJoined(&r, d.readTime, d.gracePeriod)
-		what := Joined
+		kind := Joined
 		if r.State == Unusable {
-			what = EntryInvalidated
+			kind = EntryInvalidated
 		}
 		delete(d.departures, r.ID)
-		return append(changes, Change{Replica: r, Kind: what})
+		return append(changes, Change{Replica: r, Kind: kind})
 	}
 	if d.listsEarlierStart(&r, old) {
 		r = keepLaterStart(r, old.replica)
 	} else {
 		old.declaredDraining = old.declaredDraining || d.declaresDraining(&r)
 	}
-	what := d.updateColdUntil(&r, old.replica)
+	kind := d.updateColdUntil(&r, old.replica)
 	switch {
 	case r.State == Unusable:
 		// Keep the start time and sequence number for comparison with the replica's own
 		// next entry.
 		r.Born, r.NextSequence = old.replica.Born, old.replica.NextSequence
-		if what = ""; old.replica.State != Unusable {
-			what = EntryInvalidated
+		if kind = ""; old.replica.State != Unusable {
+			kind = EntryInvalidated
 		}
 	case d.restarted(&r, &old.replica):
-		what = Restarted
+		kind = Restarted
 		old.declaredDraining = d.declaresDraining(&r)
 		d.statements.markListedStart(r.ID, d.readTime)
 	case r.State == Draining && old.replica.State != Draining:
-		what = DrainStarted
+		kind = DrainStarted
 	case old.replica.State == Unusable:
-		what = EntryUsableAgain
+		kind = EntryUsableAgain
 	case r.State == Ready && old.replica.State == Draining:
-		what = ListedAgain
+		kind = ListedAgain
 		if old.declaredDraining && !d.holdsFacts(d.readTime) {
 			old.declaredDraining = false
 			d.statements.withdrawShutdown(r.ID, d.readTime)
 		}
 	case !old.unconfirmedSince.IsZero():
-		what = ListedAgain
+		kind = ListedAgain
 	}
 	if r.NextSequence == 0 || d.holdsFacts(d.readTime) {
 		r.NextSequence = max(r.NextSequence, old.replica.NextSequence)
 	}
-	if what != "" {
-		changes = append(changes, Change{Replica: r, Kind: what})
+	if kind != "" {
+		changes = append(changes, Change{Replica: r, Kind: kind})
 	}
 	if !sameContent(&r, &old.replica) {
 		old.hashes = hashContent(&r)
--- a/pkg/directory/listing.go
+++ b/pkg/directory/listing.go
@@ -56,17 +56,17 @@
 }
 
 // NotListedSince returns the IDs of the replicas that no read sent since the given time
-// lists. It leaves out an unconfirmed replica if the list was unavailable at lost, after
-// the replica was last listed, and the first read without it was sent after since: behind
-// a partition, a replica that leaves cannot be distinguished from one whose entry
-// expired, and the time to drain runs from that read.
-func (d *Directory) NotListedSince(since, lost time.Time) []string {
+// lists. It leaves out an unconfirmed replica if the list was last unavailable after the
+// replica was last listed, and the first read without it was sent after since: behind a
+// partition, a replica that leaves cannot be distinguished from one whose entry expired,
+// and the time to drain runs from that read.
+func (d *Directory) NotListedSince(since, lastUnavailable time.Time) []string {
 	if !d.oldestListed.Before(since) {
 		return nil
 	}
 	var ids []string
 	for id, e := range d.entries {
-		if e.notListedSince(since, lost) {
+		if e.notListedSince(since, lastUnavailable) {
 			ids = append(ids, id)
 		}
 	}
@@ -75,7 +75,7 @@
 
 // notListedSince reports whether no read sent since the given time lists the entry; see
 // Directory.NotListedSince.
-func (e *entry) notListedSince(since, lost time.Time) bool {
-	excused := e.unconfirmedSince.After(since) && lost.After(e.lastListed)
+func (e *entry) notListedSince(since, lastUnavailable time.Time) bool {
+	excused := e.unconfirmedSince.After(since) && lastUnavailable.After(e.lastListed)
 	return e.lastListed.Before(since) && !excused
 }
--- a/pkg/directory/parts.go
+++ b/pkg/directory/parts.go
@@ -96,13 +96,13 @@
 }
 
 func (d *Directory) partHashes(f HashFormat, count int) []uint32 {
-	sums := make([]uint32, count)
+	hashes := make([]uint32, count)
 	for _, e := range d.entries {
 		if e.unconfirmedSince.IsZero() {
-			sums[e.partIndex(count)] += e.partTerm(f)
+			hashes[e.partIndex(count)] += e.partTerm(f)
 		}
 	}
-	return sums
+	return hashes
 }
 
 // partIndex returns the index of the part that the entry belongs to.
--- a/pkg/directory/rewind_test.go
+++ b/pkg/directory/rewind_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// newTestDirectory returns a directory with a grace period of 2 s, so that facts apply for 4 s.
+// newTestDirectory returns a directory with a grace period of 2 s, so that facts apply
+// for 4 s.
 func newTestDirectory(list []Replica) *Directory {
 	d := New(3*time.Second, 2*time.Second)
 	d.Replace(list, at(0))
--- a/pkg/directory/statements.go
+++ b/pkg/directory/statements.go
@@ -68,15 +68,15 @@
 // recordFor returns the record of a replica for the answer to a request sent at the given
 // time, or nil if the replica may have restarted since. s.mu is held.
 func (s *Statements) recordFor(id string, sent time.Time) *statementRecord {
-	one := s.records[id]
-	if one == nil {
-		one = &statementRecord{}
-		s.records[id] = one
+	record := s.records[id]
+	if record == nil {
+		record = &statementRecord{}
+		s.records[id] = record
 	}
-	if sent.Before(one.startListed) {
+	if sent.Before(record.startListed) {
 		return nil
 	}
-	return one
+	return record
 }
 
 // MarkDraining records that the answer to a request sent at the given time announced the
@@ -84,15 +84,15 @@
 func (s *Statements) MarkDraining(id string, sent, now time.Time) (news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one := s.recordFor(id, sent)
-	if one == nil {
+	record := s.recordFor(id, sent)
+	if record == nil {
 		return false
 	}
-	one.changedAt, one.ServingAt = now, time.Time{}
-	if !one.DrainingSince.IsZero() {
+	record.changedAt, record.ServingAt = now, time.Time{}
+	if !record.DrainingSince.IsZero() {
 		return false
 	}
-	one.DrainingSince = now
+	record.DrainingSince = now
 	s.excluding[id] = struct{}{}
 	return true
 }
@@ -103,15 +103,15 @@
 func (s *Statements) MarkResting(id string, sent, until, now time.Time) (news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one := s.recordFor(id, sent)
-	if one == nil {
+	record := s.recordFor(id, sent)
+	if record == nil {
 		return false
 	}
-	news = !one.RestUntil.After(now)
-	one.changedAt = now
+	news = !record.RestUntil.After(now)
+	record.changedAt = now
 	s.excluding[id] = struct{}{}
-	if until.After(one.RestUntil) {
-		one.RestUntil = until
+	if until.After(record.RestUntil) {
+		record.RestUntil = until
 	}
 	return news
 }
@@ -122,19 +122,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.prune(now)
-	one := s.recordFor(id, sent)
-	if one == nil || !one.DrainingSince.IsZero() || !sent.After(one.ServingAt) {
+	record := s.recordFor(id, sent)
+	if record == nil || !record.DrainingSince.IsZero() || !sent.After(record.ServingAt) {
 		return
 	}
-	one.changedAt, one.ServingAt = now, sent
+	record.changedAt, record.ServingAt = now, sent
 }
 
 // ForgetServing clears ServingAt of a replica, because it may be shutting down.
 func (s *Statements) ForgetServing(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if one := s.records[id]; one != nil {
-		one.ServingAt = time.Time{}
+	if record := s.records[id]; record != nil {
+		record.ServingAt = time.Time{}
 	}
 }
 
@@ -142,8 +142,8 @@
 func (s *Statements) Get(id string) Statement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if one := s.records[id]; one != nil {
-		return one.Statement
+	if record := s.records[id]; record != nil {
+		return record.Statement
 	}
 	return Statement{}
 }
@@ -154,12 +154,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.excluding {
-		one := s.records[id]
-		if !one.excludes(now) {
+		record := s.records[id]
+		if !record.excludes(now) {
 			delete(s.excluding, id)
 			continue
 		}
-		visit(id, one.Statement)
+		visit(id, record.Statement)
 	}
 }
 
@@ -187,7 +187,7 @@
 func (s *Statements) MarkRestarted(id string, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if one := s.records[id]; one != nil && at.Sub(one.startListed) < sameRestartWindow {
+	if record := s.records[id]; record != nil && at.Sub(record.startListed) < sameRestartWindow {
 		return
 	}
 	s.reset(id, at)
@@ -212,8 +212,8 @@
 func (s *Statements) withdrawShutdown(id string, read time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if one := s.records[id]; one != nil && one.DrainingSince.Before(read) {
-		one.DrainingSince = time.Time{}
+	if record := s.records[id]; record != nil && record.DrainingSince.Before(read) {
+		record.DrainingSince = time.Time{}
 	}
 }
 
@@ -221,8 +221,8 @@
 func (s *Statements) markMissing(r *Replica, read time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if one := s.records[r.ID]; one != nil {
-		one.born, one.missingSince = r.Born, read
+	if record := s.records[r.ID]; record != nil {
+		record.born, record.missingSince = r.Born, read
 		delete(s.excluding, r.ID)
 	}
 }
@@ -233,19 +233,19 @@
 func (s *Statements) markJoined(r *Replica, read time.Time, grace time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one := s.records[r.ID]
-	if one == nil {
+	record := s.records[r.ID]
+	if record == nil {
 		return
 	}
-	started := !one.missingSince.IsZero() && read.Sub(one.missingSince) > grace
-	if r.Born != 0 && one.born != 0 {
-		started = r.Born > one.born
+	started := !record.missingSince.IsZero() && read.Sub(record.missingSince) > grace
+	if r.Born != 0 && record.born != 0 {
+		started = r.Born > record.born
 	}
-	one.missingSince = time.Time{}
+	record.missingSince = time.Time{}
 	switch {
 	case started:
 		s.reset(r.ID, read)
-	case one.excludes(read):
+	case record.excludes(read):
 		s.excluding[r.ID] = struct{}{}
 	}
 }
@@ -256,9 +256,9 @@
 		return
 	}
 	s.pruned = now
-	for id, one := range s.records {
-		listed := one.missingSince.IsZero()
-		if !(listed && one.excludes(now)) && now.Sub(one.changedAt) > statementRetention {
+	for id, record := range s.records {
+		listed := record.missingSince.IsZero()
+		if !(listed && record.excludes(now)) && now.Sub(record.changedAt) > statementRetention {
 			delete(s.records, id)
 			delete(s.excluding, id)
 		}
