--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -71,7 +71,7 @@
 	home := pick(t, b, prompt(5), start).Replica.ID
 	b.MergePeer("other", PeerUpdate{Running: []ReplicaCount{{Replica: ReplicaHash(home), Running: 9}}}, start)
 	assert.NotEqual(t, home, pick(t, b, prompt(5), start).Replica.ID)
-	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(2*peerLifetime)).Replica.ID, "old counts say nothing")
+	assert.Equal(t, home, pick(t, b, prompt(5), start.Add(2*peerLifetime)).Replica.ID, "old counts are ignored")
 	b.MergePeer("other", PeerUpdate{Running: []ReplicaCount{{Replica: ReplicaHash(home), Running: 9}}}, start)
 	b.RemovePeer("other")
 	assert.Equal(t, home, pick(t, b, prompt(5), start).Replica.ID)
@@ -107,7 +107,7 @@
 	one.RequestSucceeded(home.Replica.ID, prompt(5), start)
 	told := one.TakePeerUpdate(start)
 	assert.Len(t, told.Holders, 2, "each shared part")
-	assert.Empty(t, one.TakePeerUpdate(start).Holders, "once")
+	assert.Empty(t, one.TakePeerUpdate(start).Holders, "sent only once")
 	two.MergePeer("one", told, start)
 	c := pick(t, two, prompt(5), start, home.Replica.ID)
 	assert.Equal(t, home.Replica.Address, c.CopySource, "from the holder")
@@ -185,7 +185,7 @@
 	assert.False(t, b.Suspected("i-5", start))
 	b.RequestFailed("i-0", Unreachable, "dc0", start)
 	b.RequestFailed("i-3", Unreachable, "dc0", start)
-	assert.False(t, b.Suspected("i-6", start), "not of the own one")
+	assert.False(t, b.Suspected("i-6", start), "the router's own data centre is not marked")
 }
 
 func TestASlowEngineIsPassedOver(t *testing.T) {
@@ -230,7 +230,7 @@
 	second := pick(t, b, prompt(5), start, home.ID).Replica
 	opening := prompt(5)[:1]
 	b.PartsReported(second.ID, opening, start)
-	assert.Empty(t, pick(t, b, prompt(5), start, home.ID).CopySource, "all would have heard of a holder")
+	assert.Empty(t, pick(t, b, prompt(5), start, home.ID).CopySource, "all routers would have heard of a holder")
 	b.SetLargeFleet(true)
 	assert.Equal(t, home.Address, pick(t, b, prompt(5), start, home.ID).CopySource, "diverted: the home is likely to hold it")
 	assert.Equal(t, second.Address, pick(t, b, prompt(5), start).CopySource, "at the home: the opening from whoever holds it")
@@ -276,7 +276,7 @@
 	b := newBalancer(engines(3))
 	late := PeerUpdate{Rumors: Rumors{Failures: []ObservedFailure{{ReplicaHash("i-0"), Shed, start.Add(-time.Second)}, {ReplicaHash("i-1"), Refused, start.Add(-500 * time.Millisecond)}}}}
 	b.MergePeer("other", late, start)
-	assert.False(t, b.Suspected("i-0", start), "its time is over")
+	assert.False(t, b.Suspected("i-0", start), "its avoidance is over")
 	assert.True(t, b.Suspected("i-1", start))
 	assert.False(t, b.Suspected("i-1", start.Add(501*time.Millisecond)))
 }
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -173,7 +173,7 @@
 	b.SetColdBounds(coldBounds)
 	b.SetReplicas(list, start)
 	_, found := b.Pick(coldRequest(1), start)
-	assert.False(t, found, "nobody said which routers there are")
+	assert.False(t, found, "the routers are not set yet")
 	b.SetRouters("a", []string{"a"}, start)
 	_, found = b.Pick(coldRequest(1), start.Add(membershipSettleTime-time.Millisecond))
 	assert.False(t, found, "it may not know the others")
--- a/pkg/balance/evidence_test.go
+++ b/pkg/balance/evidence_test.go
@@ -30,7 +30,7 @@
 		assert.True(t, b.Suspected("i-4", start), kind)
 		assert.False(t, b.Suspected("i-5", start), kind)
 		other.MergePeer("b", b.TakePeerUpdate(start), start)
-		assert.True(t, other.Suspected("i-4", start), "told, %s", kind)
+		assert.True(t, other.Suspected("i-4", start), "by rumor, %s", kind)
 	}
 }
 
--- a/pkg/balance/load_test.go
+++ b/pkg/balance/load_test.go
@@ -53,15 +53,15 @@
 	last := list[3]
 	last.MergeLine(Line{1, 8}, sums, Rumors{}, start)
 	assert.NotEqual(t, home, pick(t, last, prompt(5), start).Replica.ID)
-	assert.Empty(t, last.SumLine(start).Counts, "what other lines run is not told on")
+	assert.Empty(t, last.SumLine(start).Counts, "counts of other lines are not forwarded")
 	last.MergeLine(Line{1, 8}, LineCounts{}, Rumors{}, start)
 	newer := pick(t, last, others[0], start)
-	assert.Equal(t, home, newer.Replica.ID, "a newer sum takes the place of the older")
+	assert.Equal(t, home, newer.Replica.ID, "a newer sum replaces the older")
 	assert.Zero(t, newer.Load)
 	last.MergeLine(Line{1, 8}, sums, Rumors{}, start)
 	assert.InDelta(t, 2+3+4, pick(t, last, prompt(5), start).PassedOverLoad, 0)
 	late := pick(t, last, others[1], start.Add(peerLifetime))
-	assert.Equal(t, home, late.Replica.ID, "an old sum says nothing")
+	assert.Equal(t, home, late.Replica.ID, "an old sum is ignored")
 	assert.Zero(t, late.Load)
 }
 
@@ -111,7 +111,7 @@
 	for _, r := range b.replicas {
 		sum += b.load(r, start)
 	}
-	assert.InDelta(t, total, sum, 1e-9, "nothing is lost")
+	assert.InDelta(t, total, sum, 1e-9, "no count is lost")
 }
 
 // Guards against rumors that circulate forever. The same failure arrives on several
--- a/pkg/balance/near_test.go
+++ b/pkg/balance/near_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, first.Replica.Address, other.CopySource, "copied, not read again")
 	b.RequestSucceeded(other.Replica.ID, smallPrompt(5), start)
 	assert.Equal(t, other.Replica.ID, pickFrom(b, "dc1", smallPrompt(5)).Replica.ID)
-	assert.Equal(t, first.Replica.ID, pickFrom(b, "dc0", smallPrompt(5)).Replica.ID, "each its own")
+	assert.Equal(t, first.Replica.ID, pickFrom(b, "dc0", smallPrompt(5)).Replica.ID, "each data centre keeps its own")
 }
 
 func TestALargePromptHasOneHomeInTheFleet(t *testing.T) {
--- a/pkg/balance/restart_test.go
+++ b/pkg/balance/restart_test.go
@@ -35,7 +35,7 @@
 	load := b.load(b.replicas["a"], now)
 	b.mu.Unlock()
 	assert.Zero(t, load)
-	assert.Len(t, b.TakeRumors().Failures, 1, "what the list tells is no rumor")
+	assert.Len(t, b.TakeRumors().Failures, 1, "only the failure is a rumor; the list shows the restart")
 }
 
 func TestRestartIsGossiped(t *testing.T) {
@@ -50,7 +50,7 @@
 	other.MergeRumors(rumors, now)
 	assert.Empty(t, other.Holders(now))
 	other.MergeRumors(rumors, now)
-	assert.Equal(t, []string{"a"}, told, "once")
+	assert.Equal(t, []string{"a"}, told, "notified only once")
 	// Late rumors about the earlier life are ignored.
 	other.MergeRumors(Rumors{
 		Failures: []ObservedFailure{{ReplicaHash("a"), Refused, now.Add(-time.Second)}},
--- a/pkg/balance/spread_test.go
+++ b/pkg/balance/spread_test.go
@@ -52,18 +52,18 @@
 	pick(t, b, prompt(5), start)
 	told := b.TakePeerUpdate(start)
 	require.Equal(t, []HotPart{{Part: 1005, Homes: 7, At: start}}, told.Hot)
-	assert.Empty(t, b.TakePeerUpdate(start).Hot, "once")
+	assert.Empty(t, b.TakePeerUpdate(start).Hot, "sent only once")
 
 	other := newBalancer(engines(12))
 	other.SetLargeFleet(true)
 	other.MergePeer("b", PeerUpdate{Rumors: told.Rumors}, start.Add(time.Second))
-	assert.Equal(t, told.Hot, other.TakePeerUpdate(start).Hot, "and passed on")
+	assert.Equal(t, told.Hot, other.TakePeerUpdate(start).Hot, "forwarded")
 	other.MergePeer("c", PeerUpdate{Rumors: told.Rumors}, start.Add(time.Second))
-	assert.Empty(t, other.TakePeerUpdate(start).Hot, "once")
+	assert.Empty(t, other.TakePeerUpdate(start).Hot, "sent only once")
 	assert.Equal(t, 7, countChosen(t, other, start.Add(time.Second)))
-	assert.Equal(t, 1, countChosen(t, other, start.Add(spreadLifetime)), "from when it was seen")
+	assert.Equal(t, 1, countChosen(t, other, start.Add(spreadLifetime)), "expires from the time it was observed")
 	other.MergePeer("c", PeerUpdate{Rumors: told.Rumors}, start.Add(spreadLifetime))
-	assert.Empty(t, other.TakePeerUpdate(start).Hot, "what is over is not passed on")
+	assert.Empty(t, other.TakePeerUpdate(start).Hot, "expired hot parts are not forwarded")
 
 	many := HotPart{Part: 1005, Homes: 1 << 30, At: start}
 	other.MergePeer("c", PeerUpdate{Rumors: Rumors{Hot: []HotPart{many}}}, start)
