--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -106,7 +106,7 @@
 		c.refuse(refused)
 		return
 	}
-	if refused := c.front.checkStop(c.route, c.deadline, c.arrival); refused != nil {
+	if refused := c.front.checkShutdown(c.route, c.deadline, c.arrival); refused != nil {
 		c.refuse(refused)
 		return
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -104,7 +104,7 @@
 	// listStale is set if the last attempt to refresh the list of replicas failed.
 	listStale atomic.Bool
 	// stopping is nil until BeginShutdown is called.
-	stopping atomic.Pointer[stop]
+	stopping atomic.Pointer[shutdown]
 	// cutting is cancelled by cut to end the calls in flight.
 	cutting          context.Context
 	cut              context.CancelFunc
--- a/internal/front/stop_test.go
+++ b/internal/front/stop_test.go
@@ -10,11 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A stopping router took streams that it cut 6 s later.
-func TestAStoppingRouterRefusesWhatItWouldCut(t *testing.T) {
+// Guards against a router that is shutting down accepting streams that it aborts, as it did
+// 6 s later.
+func TestShutdownRefusesRequestsItWouldAbort(t *testing.T) {
 	for _, test := range []struct {
 		name, path string
-		// lateIn and cutIn are the times left, longest what the route takes.
+		// lateIn and cutIn are the times left; longest is the route's longest duration.
 		lateIn, cutIn, longest time.Duration
 		status                 int
 	}{
@@ -47,7 +48,7 @@
 	}
 }
 
-func TestCallersAreToldOfACut(t *testing.T) {
+func TestCancelInFlightAnswersCallers(t *testing.T) {
 	begun := make(chan struct{})
 	address, _ := replica(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(begun)
@@ -66,15 +67,15 @@
 	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "it has not run")
 }
 
-// What comes after the cut is refused before it is sent: it was sent first where the
-// request's end was only told to it by another goroutine.
-func TestNothingIsSentAfterACut(t *testing.T) {
+// A request that arrives after the cut is refused before it is sent. Guards against sending it
+// first because only another goroutine cancels the request's context.
+func TestNothingSentAfterCancelInFlight(t *testing.T) {
 	const requests = 500
 	address, arrivals := replica(t, func(http.ResponseWriter, *http.Request) {})
 	r := newRig(t, address)
 	response, _, err := r.send(t, "POST", "/once/", "")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, response.StatusCode, "the connection to the replica rests")
+	require.Equal(t, http.StatusOK, response.StatusCode, "the connection to the replica is idle")
 	r.front.CancelInFlight()
 	for range requests {
 		response, _, err := r.send(t, "POST", "/once/", "")
@@ -84,9 +85,9 @@
 	assert.EqualValues(t, 1, arrivals.Load())
 }
 
-// An answer may begin long after its request came: the stop is told in the head of each
-// answer that begins after it, not only of those whose request came after it.
-func TestAnAnswerThatBeginsAfterTheStopIsTheLastOfItsConnection(t *testing.T) {
+// An answer may begin long after its request arrived: each answer that begins after the start
+// of a shutdown announces it, not only those to requests that arrived later.
+func TestAnswerBegunAfterShutdownClosesConnection(t *testing.T) {
 	for _, status := range []int{http.StatusOK, http.StatusServiceUnavailable} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
 			begun, finish := make(chan struct{}, 4), make(chan struct{})
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -11,16 +11,16 @@
 	"github.com/croftyard/croftyard/internal/upstream"
 )
 
-// errPartial: a stream ended within an event.
+// errPartial means that a stream ended within an event.
 var errPartial = errors.New("front: stream ended within an event")
 
-// maxEvent bounds one event of a stream, in bytes.
+// maxEvent is the buffer limit for one event of a stream, in bytes.
 const maxEvent = 1 << 20
 
-// forwardEvents passes whole events only, so that a stream that breaks off within
-// one can go on at another replica with the next.
+// forwardEvents forwards complete events only, so that a stream that breaks off within an
+// event can resume at another replica with that event.
 //
-// heard is called each time a whole event came.
+// heard is called for each complete event.
 func (c *call) forwardEvents(answer *upstream.Answer, heard func()) error {
 	reader := bufio.NewReader(answer)
 	var one []byte
@@ -57,7 +57,7 @@
 	return c.write(one)
 }
 
-// eventID returns the id line of an event.
+// eventID returns the value of an event's id field.
 func eventID(one []byte) (string, bool) {
 	for line := range bytes.Lines(one) {
 		if value, found := bytes.CutPrefix(line, []byte("id:")); found {
@@ -67,16 +67,16 @@
 	return "", false
 }
 
-// streamSilenceLimit is how long a resumable stream may be silent before it goes on
-// elsewhere: well over its pauses, and before its caller gives up.
+// streamSilenceLimit returns how long a resumable stream may be silent before it resumes at
+// another replica: well above its usual gaps, and before its caller gives up.
 func (c *call) streamSilenceLimit() time.Duration {
 	const gaps = 3
 	const least = 700 * time.Millisecond
 	return max(gaps*c.route.Gap, least)
 }
 
-// forwardResumable passes the events of a stream and breaks it off when it falls
-// silent while it can go on elsewhere.
+// forwardResumable forwards the events of a stream and ends the attempt if the stream falls
+// silent while it can resume elsewhere.
 func (c *call) forwardResumable(id string, answer *upstream.Answer, cancel context.CancelCauseFunc) error {
 	silence := c.startSilenceTimer(c.streamSilenceLimit(), id, cancel)
 	defer silence.Stop()
--- a/internal/front/stream_test.go
+++ b/internal/front/stream_test.go
@@ -14,12 +14,12 @@
 
 const streamHead = "HTTP/1.1 200 OK\r\nTry: id-1\r\nSign: s\r\nContent-Type: text/event-stream\r\n\r\n"
 
-func TestAResumableStreamGoesOnAtAnotherReplica(t *testing.T) {
+func TestResumableStreamResumesElsewhere(t *testing.T) {
 	cut := "HTTP/1.1 200 OK\r\nTry: id-1\r\nSign: first\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	events := "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"
 	cut += fmt.Sprintf("%x\r\n%s\r\n!", len(events), events)
 	rest := streamHead + "id: 3\ndata: c\n\n!"
-	// Whichever replica is asked first breaks off; the other one goes on.
+	// The first replica to get the request breaks off; the other one resumes.
 	var asked atomic.Int32
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		answer := cut
@@ -43,7 +43,7 @@
 	assert.EqualValues(t, 2, asked.Load())
 }
 
-func TestAStreamThatMayNotBeResumedIsCut(t *testing.T) {
+func TestNonResumableStreamAborted(t *testing.T) {
 	broken := "HTTP/1.1 200 OK\r\nTry: id-1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n8\r\nid: 1\n\n\r\n!"
 	first, seen := rawReplica(t, broken)
 	second, seenToo := rawReplica(t, broken)
@@ -52,7 +52,7 @@
 	assert.Equal(t, 1, len(seen)+len(seenToo))
 }
 
-func TestAResumableStreamThatFallsSilentGoesOnElsewhere(t *testing.T) {
+func TestSilentResumableStreamResumesElsewhere(t *testing.T) {
 	var asked atomic.Int32
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
