--- a/internal/front/gone_test.go
+++ b/internal/front/caller_left_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// lateListener hands out connections whose reads are let through one by one.
+// lateListener accepts connections whose reads proceed one at a time, when the test permits.
 type lateListener struct {
 	net.Listener
 	reads chan struct{}
@@ -39,7 +39,7 @@
 	once   sync.Once
 }
 
-// SetReadDeadline ends a read that waits, as a server does before it answers.
+// SetReadDeadline ends a blocked read, as a server does before it answers.
 func (c *lateConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && t.Before(time.Now()) {
 		select {
@@ -66,7 +66,7 @@
 	return c.TCPConn.Close()
 }
 
-// dial connects a caller.
+// dial opens a caller's connection.
 func dial(t *testing.T, address string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -79,7 +79,7 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nTry: id-1\r\nAuthorization: Key k1\r\nContent-Length: 0\r\n\r\n", method, path)
 }
 
-// serveWithLimits serves a rig's front with the hooks that a router has.
+// serveWithLimits serves a rig's Front with the connection hooks of a router.
 func (r *rig) serveWithLimits(t *testing.T, l net.Listener) *httptest.Server {
 	t.Helper()
 	server := httptest.NewUnstartedServer(r.front)
@@ -94,7 +94,7 @@
 	return server
 }
 
-func TestARequestWhoseCallerHasLeftReachesNoReplica(t *testing.T) {
+func TestAbandonedRequestNotSent(t *testing.T) {
 	leave := map[string]func(c *net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
 		"reset": func(c *net.TCPConn) {
@@ -115,9 +115,9 @@
 			_, err = io.WriteString(caller, head("GET", "/repeat/x"))
 			require.NoError(t, err)
 			leave(caller)
-			// One read, of the head. That of the end is still to come.
+			// Permit one read, of the head. The read of the end is still blocked.
 			late.reads <- struct{}{}
-			until(func() bool { return r.front.metrics.Duration.Count() == 1 })
+			waitUntil(func() bool { return r.front.metrics.Duration.Count() == 1 })
 			assert.Zero(t, arrivals.Load())
 			gone := gometrics.GetOrRegisterCounter("croftyard.front.requests."+outcomeGone, r.front.metrics.Registry)
 			assert.EqualValues(t, 1, gone.Count())
@@ -125,14 +125,14 @@
 	}
 }
 
-// until waits for a condition; the test's own limit ends a wait in vain.
-func until(condition func() bool) {
+// waitUntil waits for a condition. The test's timeout bounds the wait.
+func waitUntil(condition func() bool) {
 	for !condition() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func TestWorkEndsWhenItsCallerLeaves(t *testing.T) {
+func TestReplicaWorkEndsWhenCallerLeaves(t *testing.T) {
 	piece := make([]byte, 64<<10)
 	endless := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -179,13 +179,13 @@
 			test.before(caller)
 			caller.Close()
 			<-ended
-			until(func() bool { return r.front.ActiveRequests() == 0 })
+			waitUntil(func() bool { return r.front.ActiveRequests() == 0 })
 			assert.EqualValues(t, 1, arrivals.Load(), "nothing is sent for it any more")
 		})
 	}
 }
 
-func TestACallerThatDoesNotReadIsNotWaitedForForEver(t *testing.T) {
+func TestUnreadAnswerEndsAtDeadline(t *testing.T) {
 	ended := make(chan struct{})
 	address, _ := replica(t, func(w http.ResponseWriter, _ *http.Request) {
 		defer close(ended)
@@ -201,10 +201,10 @@
 	_, err := io.WriteString(caller, head("GET", "/short/x"))
 	require.NoError(t, err)
 	<-ended
-	until(func() bool { return r.front.ActiveRequests() == 0 })
+	waitUntil(func() bool { return r.front.ActiveRequests() == 0 })
 }
 
-func TestTheTimeOfAnAnswerDoesNotBoundWhatFollowsIt(t *testing.T) {
+func TestWriteDeadlineClearedAfterAnswer(t *testing.T) {
 	address, _ := replica(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 	r := newRig(t, address)
 	server := r.serveWithLimits(t, nil)
@@ -221,19 +221,19 @@
 		assert.Equal(t, text.status, response.StatusCode)
 		_, err = io.Copy(io.Discard, response.Body)
 		require.NoError(t, err)
-		// Past the route's time and that for its answer.
+		// Past the route's timeout and the grace for the answer.
 		time.Sleep(200*time.Millisecond + answerGrace)
 	}
 }
 
-func TestACallerThatClosedItsSendingSideOnlyGetsNothingThatLooksWhole(t *testing.T) {
+func TestHalfClosedCallerGetsNoCompleteAnswer(t *testing.T) {
 	address, arrivals := replica(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	r := newRig(t, address)
 	server := r.serveWithLimits(t, nil)
 	caller := dial(t, server.Listener.Addr().String())
 	_, err := io.WriteString(caller, head("GET", "/once/x"))
 	require.NoError(t, err)
-	until(func() bool { return arrivals.Load() == 1 })
+	waitUntil(func() bool { return arrivals.Load() == 1 })
 	require.NoError(t, caller.CloseWrite())
 	answer, err := io.ReadAll(caller)
 	assert.Empty(t, answer)
--- a/internal/front/wait.go
+++ b/internal/front/wait.go
@@ -9,32 +9,33 @@
 	"github.com/croftyard/croftyard/pkg/mechanism"
 )
 
-// A request waits only for something that is expected to change, and no longer than
-// its caller would take to come back: a refusal brings it to another router, which may
-// serve it at once, after retryElsewhere and a new connection. A part of the target is about
-// as long, and where the target is longer the caller has more time to lose by a second way.
+// A request waits only for a change that is expected, and no longer than its caller would take
+// to retry: a refused request reaches another router, which may serve it at once, after
+// retryElsewhere and a new connection. A fraction of the target is about as long; with a
+// longer target, the caller has more time to lose by the retry.
 const (
-	waitPart = 8
-	// proofPart is for a proof: one that comes within half the target leaves the time
-	// for an answer that has its full worth, and a refusal leads to another router
-	// that may know as little.
-	proofPart = 2
+	waitDivisor = 8
+	// freshnessDivisor is for a confirmation of the configuration: one that arrives within
+	// half the target leaves enough time to answer within the target, and after a refusal
+	// another router may be no better informed.
+	freshnessDivisor = 2
 )
 
-// Bounds of waits whatever the target.
+// Upper bounds of the waits.
 const (
-	// defaultWait is for routes without a target.
+	// defaultWait applies to routes without a target.
 	defaultWait = 75 * time.Millisecond
-	// startWait is for the first configuration, before which no route is known.
-	startWait = 60 * time.Millisecond
-	// proofWait is for a proof that is new enough to say no by: a read of the largest
-	// configuration over the narrowest link.
-	proofWait = 400 * time.Millisecond
-	// listWait is for a newer list of replicas, one call of a store that is well.
+	// startupWait is for the first configuration, before which no route is known.
+	startupWait = 60 * time.Millisecond
+	// freshnessWait is for a confirmation recent enough for a refusal: it covers a read of
+	// the largest configuration over the narrowest link.
+	freshnessWait = 400 * time.Millisecond
+	// listWait is for a newer list of replicas: it covers one call to a healthy store.
 	listWait = 60 * time.Millisecond
 )
 
-// boundedWait is a part of the request's target, at most a limit.
+// boundedWait returns the target divided by divisor, or defaultWait without a target, but at
+// most limit.
 func (c *call) boundedWait(part, most time.Duration) time.Duration {
 	if c.route == nil || c.route.Target == 0 {
 		return min(defaultWait, most)
@@ -42,10 +43,10 @@
 	return min(c.route.Target/part, most)
 }
 
-// waitForReplica waits while a replica is expected to be there soon, and tells whether
-// to look again.
+// waitForReplica waits for a replica that is expected to be available soon, and reports
+// whether to choose again.
 func (c *call) waitForReplica(ctx context.Context) bool {
-	left := c.boundedWait(waitPart, defaultTimeout) - steady.Since(c.arrival)
+	left := c.boundedWait(waitDivisor, defaultTimeout) - steady.Since(c.arrival)
 	if c.sent.Load() > 0 || c.evacuated() || left <= 0 {
 		return false
 	}
@@ -69,51 +70,51 @@
 			return false
 		}
 	}
-	// Those that could not be reached may be reached now.
+	// Replicas that could not be reached may be reachable now.
 	c.tried = nil
 	return true
 }
 
-// refreshPart of the greatest age of the list is the age at which a request has it read
-// again: the rest is for the answer.
-const refreshPart = 0.875
+// refreshFraction of the list's maximum age is the age at which a request triggers a read of
+// it: the rest is for the answer.
+const refreshFraction = 0.875
 
-// refreshList reads the list of replicas again if it is about to exceed its greatest age.
-// Other routers usually read it for this one; a request must not pay for one being late.
+// refreshList reads the list of replicas again if it is about to exceed its maximum age. Other
+// routers usually read it for this one; a request must not pay for a late one.
 func (c *call) refreshList(ctx context.Context) {
 	f := c.front
-	limit := time.Duration(float64(f.limits.Load().MaxListAge) * refreshPart)
+	limit := time.Duration(float64(f.limits.Load().MaxListAge) * refreshFraction)
 	now := steady.Now()
 	if limit == 0 || f.options.Without.Has(mechanism.Renew) || f.watcher.ListAge(now) < limit {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.boundedWait(waitPart, listWait))
+	ctx, cancel := context.WithTimeout(ctx, c.boundedWait(waitDivisor, listWait))
 	defer cancel()
 	f.logListAge(f.watcher.RefreshList(ctx, now.Add(-limit)))
 }
 
-// initialState returns the state by which a request is served. Right after the start it
-// waits a moment for the first configuration.
+// initialState returns the current state. Right after the start it waits for up to
+// startupWait for the first configuration.
 func (c *call) initialState(ctx context.Context) *freshness.State {
 	f := c.front
 	state := f.holder.Current()
 	if state.Table != nil || f.watcher.SourceFailing() {
 		return state
 	}
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, startupWait)
 	defer cancel()
-	// Without a proof in time the state is as it was.
+	// On a timeout the state is unchanged.
 	_ = f.watcher.WaitFresh(ctx, f.started)
 	return f.holder.Current()
 }
 
-// waitFresh waits until the configuration was read after a time, and reports whether it
-// was. While the source is unavailable it does not wait.
+// waitFresh waits until the configuration has been read after since, and reports whether it
+// has. While the source is failing it does not wait.
 func (c *call) waitFresh(ctx context.Context, since time.Time) bool {
 	if c.front.watcher.SourceFailing() {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.boundedWait(proofPart, proofWait))
+	ctx, cancel := context.WithTimeout(ctx, c.boundedWait(freshnessDivisor, freshnessWait))
 	defer cancel()
 	return c.front.watcher.WaitFresh(ctx, since) == nil
 }
--- a/internal/front/wait_test.go
+++ b/internal/front/wait_test.go
@@ -19,8 +19,8 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-// idle is a front that nothing is read for, and a call of it that has just come.
-func idle(target time.Duration, source watch.Source) (*Front, *call) {
+// newIdleFront returns a Front whose watcher does not run, and a call that has just arrived.
+func newIdleFront(target time.Duration, source watch.Source) (*Front, *call) {
 	log := event.Discard()
 	holder, balancer := freshness.NewHolder(), balance.New(1)
 	watcher := watch.New(source, watch.Options{Period: time.Second, Timeout: time.Second},
@@ -31,8 +31,8 @@
 	return f, c
 }
 
-// list gives a front replicas.
-func list(f *Front, ids ...string) {
+// listReplicas applies a snapshot with the given replicas.
+func listReplicas(f *Front, ids ...string) {
 	snapshot := watch.Snapshot{Config: &route.Config{Version: 1}}
 	for _, id := range ids {
 		snapshot.Replicas = append(snapshot.Replicas, directory.Replica{ID: id, Service: "s", DataCentre: "here"})
@@ -40,10 +40,10 @@
 	f.watcher.ApplySnapshot(snapshot, time.Now())
 }
 
-func TestARequestWaitsOnlyForWhatIsExpectedToChange(t *testing.T) {
+func TestWaitOnlyForExpectedChange(t *testing.T) {
 	avoided := func(rest time.Duration) func(*Front, *call) {
 		return func(f *Front, _ *call) {
-			list(f, "r0")
+			listReplicas(f, "r0")
 			f.balancer.RequestFailed("r0", balance.Refused, "here", time.Now().Add(rest-time.Second))
 		}
 	}
@@ -54,12 +54,12 @@
 		again   bool
 		waited  time.Duration
 	}{
-		{"none is listed", 600 * time.Millisecond, func(f *Front, _ *call) { list(f, "other") }, false, 0},
+		{"none is listed", 600 * time.Millisecond, func(f *Front, _ *call) { listReplicas(f, "other") }, false, 0},
 		{"avoided for a second", 600 * time.Millisecond, avoided(time.Second), false, 0},
 		{"avoided for a moment", 600 * time.Millisecond, avoided(40 * time.Millisecond), true, 40 * time.Millisecond},
 		{"avoided for a moment, but the target is short", 150 * time.Millisecond, avoided(40 * time.Millisecond), false, 0},
 		{"avoided for a moment, no target", 0, avoided(40 * time.Millisecond), true, 40 * time.Millisecond},
-		{"not reached, though not avoided", 600 * time.Millisecond, func(f *Front, _ *call) { list(f, "r0") }, false, 0},
+		{"not reached, though not avoided", 600 * time.Millisecond, func(f *Front, _ *call) { listReplicas(f, "r0") }, false, 0},
 		{"sent already", 600 * time.Millisecond, func(f *Front, c *call) {
 			avoided(40*time.Millisecond)(f, c)
 			c.sent.Add(1)
@@ -69,14 +69,14 @@
 			c.arrival = time.Now().Add(-75 * time.Millisecond)
 		}, false, 0},
 		{"the first list comes", 600 * time.Millisecond, func(f *Front, _ *call) {
-			time.AfterFunc(10*time.Millisecond, func() { list(f, "r1") })
+			time.AfterFunc(10*time.Millisecond, func() { listReplicas(f, "r1") })
 		}, true, 10 * time.Millisecond},
 		{"the first list does not come", 600 * time.Millisecond, func(*Front, *call) {}, false, 75 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, one := idle(c.target, &fakeSource{})
+				f, one := newIdleFront(c.target, &fakeSource{})
 				c.prepare(f, one)
 				begun := time.Now()
 				assert.Equal(t, c.again, one.waitForReplica(t.Context()))
@@ -87,16 +87,16 @@
 	}
 }
 
-func TestAProofIsWaitedForWithinTheTarget(t *testing.T) {
+func TestWaitForProofBoundedByTarget(t *testing.T) {
 	for _, c := range []struct{ target, waited time.Duration }{
 		{150 * time.Millisecond, 75 * time.Millisecond},
 		{600 * time.Millisecond, 300 * time.Millisecond},
-		{2 * time.Second, proofWait},
+		{2 * time.Second, freshnessWait},
 		{0, defaultWait},
 	} {
 		t.Run(c.target.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				_, one := idle(c.target, &fakeSource{})
+				_, one := newIdleFront(c.target, &fakeSource{})
 				begun := time.Now()
 				assert.False(t, one.waitFresh(t.Context(), begun))
 				assert.Equal(t, c.waited, time.Since(begun))
@@ -105,7 +105,7 @@
 	}
 }
 
-// slowSource answers when its reader has given up.
+// slowSource answers only when its reader has given up.
 type slowSource struct{ fakeSource }
 
 func (*slowSource) Replicas(ctx context.Context) (watch.Snapshot, error) {
@@ -113,31 +113,31 @@
 	return watch.Snapshot{}, ctx.Err()
 }
 
-func TestANewerListIsWaitedForWithinTheTarget(t *testing.T) {
+func TestWaitForListBoundedByTarget(t *testing.T) {
 	for _, c := range []struct{ target, waited time.Duration }{
 		{160 * time.Millisecond, 20 * time.Millisecond},
 		{600 * time.Millisecond, listWait},
 	} {
 		t.Run(c.target.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, one := idle(c.target, &slowSource{})
+				f, one := newIdleFront(c.target, &slowSource{})
 				f.SetLimits(Limits{MaxListAge: time.Second, RetryBurst: 1})
-				list(f, "r0")
+				listReplicas(f, "r0")
 				time.Sleep(2 * time.Second)
 				begun := time.Now()
 				one.refreshList(t.Context())
 				assert.Equal(t, c.waited, time.Since(begun))
-				// The read that was asked for ends by its own limit.
+				// The triggered read ends by its own timeout.
 				time.Sleep(2 * time.Second)
 			})
 		})
 	}
 }
 
-func TestWhenARefusedCallerIsBestBack(t *testing.T) {
+func TestRetryAfterOfUnavailable(t *testing.T) {
 	fail := func(kind balance.Failure, ids ...string) func(*Front) {
 		return func(f *Front) {
-			list(f, "r0", "r1")
+			listReplicas(f, "r0", "r1")
 			for _, id := range ids {
 				f.balancer.RequestFailed(id, kind, "here", time.Now())
 			}
@@ -152,15 +152,15 @@
 		{"all are full", fail(balance.Shed, "r0", "r1"), 150 * time.Millisecond},
 		{"none is there", fail(balance.Refused, "r0", "r1"), retryLater},
 		{"none is listed, the list is read soon", func(f *Front) {
-			list(f)
+			listReplicas(f)
 			time.Sleep(650 * time.Millisecond)
 		}, 200 * time.Millisecond},
-		{"none is listed, the list has just been read", func(f *Front) { list(f) }, retryLater},
+		{"none is listed, the list has just been read", func(f *Front) { listReplicas(f) }, retryLater},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, one := idle(600*time.Millisecond, &fakeSource{err: errors.New("down")})
+				f, one := newIdleFront(600*time.Millisecond, &fakeSource{err: errors.New("down")})
 				c.prepare(f)
 				refused := one.refuseUnavailable("no replica")
 				assert.Equal(t, c.after, refused.retryAfter)
@@ -170,11 +170,11 @@
 	}
 }
 
-// In a cut each request to a service with no replica on this side took 0.3 s until its
-// connection was given up, and was refused then.
-func TestWhatIsKnownToBeOutOfReachIsRefusedAtOnce(t *testing.T) {
+// During a network partition, guards against each request to a service without a reachable
+// replica waiting 0.3 s for a connection before it is refused.
+func TestUnreachableServiceRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := idle(0, &fakeSource{})
+		f, _ := newIdleFront(0, &fakeSource{})
 		config := testConfig()
 		for i := range config.Routes {
 			config.Routes[i].Shares = []route.Share{{Service: "s", Weight: 1}}
@@ -188,7 +188,7 @@
 		answer := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodPost, "http://h/once/x", nil)
 		request.Header.Set("Authorization", "Key k1")
-		// It has no pool to send by.
+		// The Front has no pool to send with.
 		f.ServeHTTP(answer, request)
 		assert.Equal(t, http.StatusServiceUnavailable, answer.Code)
 		assert.Equal(t, "0.500", answer.Header().Get("Retry-After"))
