--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -117,7 +117,7 @@
 		more = append(more, directory.Replica{ID: fmt.Sprint("s", n), Service: "s", DataCentre: "here",
 			Address: newAbortingReplica(t, func(l net.Listener, _ http.ResponseWriter) { l.Close() })})
 	}
-	r.list(t, more...)
+	r.addReplicas(t, more...)
 	r.recordCrashes("/repeat/x", "deadly", 1)
 	answer, _, err := r.send(t, http.MethodPost, "/repeat/x", "deadly")
 	require.NoError(t, err)
@@ -205,7 +205,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := newStillRig(t)
+			r := newEmptyRig(t)
 			r.front.poison.SetLimits(poison.Limits{Crashes: 3, Hold: time.Minute})
 			now := time.Now()
 			digest := poison.NewDigest("acme", "POST", "h", "/", nil)
@@ -218,7 +218,7 @@
 }
 
 func TestRestartClearsStatements(t *testing.T) {
-	r := newStillRig(t)
+	r := newEmptyRig(t)
 	now := time.Now()
 	r.watcher.Statements().MarkServing("a", now, now)
 	r.front.ReplicaRestarted("a", now)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -56,7 +56,7 @@
 		"closed without an answer":       "!",
 		"half a head":                    "HTTP/1.1 200 O!",
 		"promise without the mark":       "HTTP/1.1 503 Busy\r\nTry: id-1\r\nContent-Length: 0\r\n\r\n",
-		"answers of other requests only": strings.Repeat(whole("id-0", "x"), 5) + "!",
+		"answers of other requests only": strings.Repeat(completeAnswer("id-0", "x"), 5) + "!",
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, seen := rawReplica(t, answer)
@@ -76,8 +76,8 @@
 	misdirected := "HTTP/1.1 421 Other\r\nTry: id-1\r\nContent-Length: 0\r\n\r\n"
 	for name, answer := range map[string]string{"not run": notRun, "misdirected": misdirected} {
 		t.Run(name, func(t *testing.T) {
-			address, _ := rawReplica(t, answer, whole("id-1", "good"))
-			other, _ := rawReplica(t, answer, whole("id-1", "good"))
+			address, _ := rawReplica(t, answer, completeAnswer("id-1", "good"))
+			other, _ := rawReplica(t, answer, completeAnswer("id-1", "good"))
 			r := newRig(t, address, other)
 			response, _, err := r.send(t, "POST", "/single/", "")
 			require.NoError(t, err)
@@ -190,7 +190,7 @@
 
 func TestDuplicateAnswerNotTakenForNextRequest(t *testing.T) {
 	// The answer to the second request follows a duplicate answer to the first.
-	address, _ := rawReplica(t, whole("id-1", "first"), whole("id-1", "first")+whole("id-2", "second"))
+	address, _ := rawReplica(t, completeAnswer("id-1", "first"), completeAnswer("id-1", "first")+completeAnswer("id-2", "second"))
 	r := newRig(t, address)
 	_, text, err := r.send(t, "POST", "/single/", "")
 	require.NoError(t, err)
--- a/internal/front/renew_test.go
+++ b/internal/front/refresh_list_test.go
@@ -12,13 +12,13 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// A router whose list was old sent work to replicas that had said that they leave:
-// a hunt's DRAIN, 27 ms late, and eleven on a grown site.
-func TestAnOldListIsRenewedBeforeARequestIsSent(t *testing.T) {
+// Guards against a router that uses an old list and sends requests to replicas that have
+// declared that they leave, in one case 27 ms past the bound.
+func TestStaleListRefreshedBeforeSending(t *testing.T) {
 	leaving, _ := replica(t, answerOK)
 	staying, _ := replica(t, answerOK)
 	r := newAgedRig(t, testListAge, leaving, staying)
-	r.setListProof(testListProof)
+	r.setMaxListAge(testMaxListAge)
 	r.source.mu.Lock()
 	list := slices.Clone(r.source.snapshot.Replicas)
 	list[0].State = directory.Draining
@@ -38,9 +38,9 @@
 	}
 }
 
-// Days on which the store is down go on: while it answers nobody, nobody can have
-// heard more than the list at hand says. A router that is late by itself is bound.
-func TestAnOldListIsGoneByOnlyWhileTheSourceAnswersNobody(t *testing.T) {
+// While the store answers nobody, no router knows more than the list at hand, so requests are
+// still served. A router that alone is late is bound by the age of its list.
+func TestStaleListUsedOnlyWhileSourceUnavailable(t *testing.T) {
 	longAgo := func() time.Time { return time.Now().Add(-testListAge) }
 	tests := map[string]struct {
 		silent bool
@@ -73,20 +73,20 @@
 		t.Run(name, func(t *testing.T) {
 			address, arrivals := replica(t, answerOK)
 			r := newAgedRig(t, testListAge, address)
-			r.setListProof(testListProof)
+			r.setMaxListAge(testMaxListAge)
 			if test.silent {
 				r.source.fallSilent()
 			} else {
-				r.source.reportFailure(assert.AnError)
+				r.source.fail(assert.AnError)
 			}
-			// The read is known to have no answer before the request comes.
+			// The read has failed before the request arrives.
 			require.Error(t, r.watcher.RefreshList(t.Context(), time.Now()))
 			if test.told != nil {
 				test.told(r)
 			}
 			for range 3 {
 				if !test.served {
-					r.wantNotRun(t)
+					r.requireNotRun(t)
 					continue
 				}
 				response, _, err := r.send(t, "POST", "/single/x", "")
@@ -94,7 +94,7 @@
 				assert.Equal(t, http.StatusOK, response.StatusCode)
 			}
 			assert.Equal(t, test.served, arrivals.Load() > 0)
-			assert.True(t, r.front.listStale.Load(), "it is noted")
+			assert.True(t, r.front.listStale.Load(), "the failure is recorded")
 		})
 	}
 }
--- a/internal/front/rig_test.go
+++ b/internal/front/rig_test.go
@@ -26,7 +26,7 @@
 	"github.com/croftyard/croftyard/pkg/route"
 )
 
-// testDialect has names of its own: the front must know none by heart.
+// testDialect uses names of its own, so that a name hard-coded in the package fails a test.
 func testDialect() Dialect {
 	return Dialect{
 		AttemptID: "Try", Deadline: "Left", PromptParts: "Parts", Key: "Authorization", KeyScheme: "Key ",
@@ -43,13 +43,13 @@
 	}
 }
 
-// fakeSource returns what a test put into it, or an error.
+// fakeSource returns a snapshot set by the test, or an error.
 type fakeSource struct {
 	mu       sync.Mutex
 	snapshot watch.Snapshot
 	err      error
 	reads    int
-	// silent: a read is answered by nothing until its time is over.
+	// silent makes each read block until its context ends.
 	silent bool
 }
 
@@ -71,22 +71,23 @@
 	return snapshot, err
 }
 
-// fallSilent leaves all reads without an answer from now on.
+// fallSilent makes all further reads block until their context ends.
 func (s *fakeSource) fallSilent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = true
 }
 
-// fail answers all reads with an error from now on.
-func (s *fakeSource) reportFailure(err error) {
+// fail makes all further reads return an error.
+func (s *fakeSource) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.err = err
 }
 
-// list lists more replicas, in the source and at the router, which may be reading.
-func (r *rig) list(t *testing.T, more ...directory.Replica) {
+// addReplicas lists more replicas in the source and applies the snapshot at the router, which
+// may be reading concurrently.
+func (r *rig) addReplicas(t *testing.T, more ...directory.Replica) {
 	t.Helper()
 	r.source.mu.Lock()
 	r.source.snapshot.Replicas = append(slices.Clone(r.source.snapshot.Replicas), more...)
@@ -95,7 +96,7 @@
 	require.NoError(t, r.watcher.ApplySnapshot(snapshot, time.Now()))
 }
 
-// rig is a front between a test's caller and its replicas.
+// rig is a Front between a test's caller and its replicas.
 type rig struct {
 	front   *Front
 	source  *fakeSource
@@ -127,7 +128,7 @@
 
 func newRig(t *testing.T, replicas ...string) *rig {
 	t.Helper()
-	r := newStillRig(t, replicas...)
+	r := newEmptyRig(t, replicas...)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go r.watcher.Run(ctx)
@@ -135,24 +136,24 @@
 	return r
 }
 
-// newAgedRig returns a rig whose knowledge is as old as told; it reads only when a
-// request asks for it.
+// newAgedRig returns a rig whose snapshot has the given age. It reads the source only when a
+// request triggers it.
 func newAgedRig(t *testing.T, age time.Duration, replicas ...string) *rig {
 	t.Helper()
-	r := newStillRig(t, replicas...)
+	r := newEmptyRig(t, replicas...)
 	r.watcher.ApplySnapshot(r.source.snapshot, time.Now().Add(-age))
 	return r
 }
 
-// setListProof sets the greatest age of the list.
-func (r *rig) setListProof(age time.Duration) {
+// setMaxListAge sets the maximum age of the list.
+func (r *rig) setMaxListAge(age time.Duration) {
 	limits := *r.front.limits.Load()
 	limits.MaxListAge = age
 	r.front.SetLimits(limits)
 }
 
-// newStillRig returns a rig that knows nothing yet.
-func newStillRig(t *testing.T, replicas ...string) *rig {
+// newEmptyRig returns a rig that has not read the source and does not by itself.
+func newEmptyRig(t *testing.T, replicas ...string) *rig {
 	t.Helper()
 	config := testConfig()
 	for i := range config.Routes {
@@ -175,7 +176,7 @@
 	return r
 }
 
-// send makes a request with a valid key and returns the answer with its body.
+// send sends a request with a valid key and returns the answer and its body.
 func (r *rig) send(t *testing.T, method, path, body string, header ...string) (*http.Response, string, error) {
 	t.Helper()
 	request, err := http.NewRequest(method, r.server.URL+path, strings.NewReader(body))
@@ -195,7 +196,7 @@
 	return response, string(text), err
 }
 
-// replica serves each request with a handler and counts arrivals.
+// replica starts a replica that serves requests with a handler and counts them.
 func replica(t *testing.T, handler http.HandlerFunc) (address string, arrivals *atomic.Int32) {
 	t.Helper()
 	arrivals = &atomic.Int32{}
@@ -208,8 +209,8 @@
 	return server.Listener.Addr().String(), arrivals
 }
 
-// rawReplica answers the n-th request, over all connections, with the n-th text
-// as it is; a text that ends in "!" closes the connection after it.
+// rawReplica answers the n-th request, over all connections, with the n-th text verbatim. A
+// text that ends in "!" closes the connection after it.
 func rawReplica(t *testing.T, answers ...string) (address string, seen chan *http.Request) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -248,7 +249,7 @@
 	}
 }
 
-// whole is a complete answer to a request of the id.
-func whole(id, body string) string {
+// completeAnswer returns a complete answer to the request with the given id.
+func completeAnswer(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nTry: %s\r\nSign: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
--- a/internal/front/oldlist_test.go
+++ b/internal/front/stale_list_test.go
@@ -19,32 +19,30 @@
 	"github.com/croftyard/croftyard/pkg/directory"
 )
 
-// The incident: a replica had declared that it leaves, and the users' store had
-// acknowledged that. A router behind a narrow link, whose reads came late, sent the
-// replica a request 3.06 s later; 3 s was the bound. It waited a moment for a newer
-// list and then went by the old one, whatever its age.
+// These tests guard against requests to a replica that has declared that it leaves, past the
+// bound. A router whose reads were late because of a narrow link waited briefly for a newer
+// list, then used the old one whatever its age: it sent a request after 3.06 s, where 3 s was
+// the bound.
 
-// Ages of the lists in these tests, and the greatest at which requests are sent.
+// The age of the lists in these tests, and the maximum age at which requests are sent.
 const (
-	testListAge   = time.Minute
-	testListProof = 10 * time.Second
+	testListAge    = time.Minute
+	testMaxListAge = 10 * time.Second
 )
 
 func answerOK(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }
 
-// wantNotRun checks that a request was refused in a way that promises that it has
-// not run.
-func (r *rig) wantNotRun(t *testing.T) {
+// requireNotRun sends a request and checks that it is refused as not run.
+func (r *rig) requireNotRun(t *testing.T) {
 	t.Helper()
 	response, _, err := r.send(t, "POST", "/repeat/x", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
-	assert.NotEmpty(t, response.Header.Get("Retry-After"), "it has not run and may come again")
+	assert.NotEmpty(t, response.Header.Get("Retry-After"), "it has not run and may be retried")
 }
 
-// onceConnected does something when a connection to a replica has been opened, before
-// the request is written.
-func (r *rig) onceConnected(do func()) {
+// onConnect calls do when a connection to a replica is open, before the request is written.
+func (r *rig) onConnect(do func()) {
 	r.front.pool = upstream.New(upstream.Options{
 		IDHeader:       "Try",
 		DialTimeout:    time.Second,
@@ -54,31 +52,31 @@
 	})
 }
 
-func TestNothingIsSentByAListThatIsTooOld(t *testing.T) {
+func TestNothingSentByStaleList(t *testing.T) {
 	address, arrivals := replica(t, answerOK)
 	r := newAgedRig(t, testListAge, address)
-	r.setListProof(testListProof)
+	r.setMaxListAge(testMaxListAge)
 	r.source.fallSilent()
-	r.wantNotRun(t)
+	r.requireNotRun(t)
 	assert.Zero(t, arrivals.Load())
 }
 
-// The list may become too old while a connection is opened, after the choice.
-func TestTheAgeOfTheListIsLookedAtAgainOnceConnected(t *testing.T) {
+// The list may become too old after the choice, while a connection is opened.
+func TestListAgeRecheckedAfterConnect(t *testing.T) {
 	address, arrivals := replica(t, answerOK)
 	r := newAgedRig(t, testListAge, address)
-	r.setListProof(2 * testListAge)
-	r.onceConnected(func() {
+	r.setMaxListAge(2 * testListAge)
+	r.onConnect(func() {
 		r.source.fallSilent()
-		r.setListProof(testListProof)
+		r.setMaxListAge(testMaxListAge)
 	})
-	r.wantNotRun(t)
+	r.requireNotRun(t)
 	assert.Zero(t, arrivals.Load())
 }
 
-// A replica that answers without closing its connection has not said that it leaves.
-// One that leaves, or another that stands at its address, shows nothing.
-func TestAReplicaThatShowsThatItStaysIsUsedDespiteAnOldList(t *testing.T) {
+// A replica that answers and keeps its connection open is not leaving. An answer of one that
+// leaves, or of another replica at its address, proves nothing.
+func TestServingReplicaUsedDespiteStaleList(t *testing.T) {
 	tests := map[string]struct {
 		answer string
 		want   int
@@ -90,13 +88,13 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			address, _ := rawReplica(t, test.answer, whole("id-1", "later"))
+			address, _ := rawReplica(t, test.answer, completeAnswer("id-1", "later"))
 			r := newAgedRig(t, testListAge, address)
-			r.setListProof(2 * testListAge)
+			r.setMaxListAge(2 * testListAge)
 			_, _, err := r.send(t, "POST", "/single/x", "")
 			require.NoError(t, err)
 			r.source.fallSilent()
-			r.setListProof(testListProof)
+			r.setMaxListAge(testMaxListAge)
 			response, _, err := r.send(t, "POST", "/single/x", "")
 			require.NoError(t, err)
 			assert.Equal(t, test.want, response.StatusCode)
@@ -104,36 +102,35 @@
 	}
 }
 
-// A key's proof, too, may become too old while a connection is opened.
-func TestTheAgeOfTheKeysProofIsLookedAtAgainOnceConnected(t *testing.T) {
+// The configuration's confirmation may also become too old while a connection is opened.
+func TestKeyProofAgeRecheckedAfterConnect(t *testing.T) {
 	address, arrivals := replica(t, answerOK)
 	r := newAgedRig(t, testListAge, address)
-	r.onceConnected(func() {
+	r.onConnect(func() {
 		limits := *r.front.limits.Load()
-		limits.MaxKeyProofAge, limits.MaxAbsenceProofAge = testListProof, testListProof
+		limits.MaxKeyProofAge, limits.MaxAbsenceProofAge = testMaxListAge, testMaxListAge
 		r.front.SetLimits(limits)
-		r.source.reportFailure(assert.AnError)
+		r.source.fail(assert.AnError)
 	})
-	r.wantNotRun(t)
+	r.requireNotRun(t)
 	assert.Zero(t, arrivals.Load())
 }
 
-// That a replica of another service is held back says nothing about a request that
-// finds none of its own.
-func TestAnotherServicesOldReplicaRefusesNothing(t *testing.T) {
+// Guards against refusing a request for an excluded replica of another service.
+func TestOtherServiceExclusionIgnored(t *testing.T) {
 	address, _ := replica(t, answerOK)
-	r := newStillRig(t, address, "one:1", "two:1")
+	r := newEmptyRig(t, address, "one:1", "two:1")
 	own, foreign := r.source.snapshot.Replicas[0], r.source.snapshot.Replicas[1:]
 	foreign[0].Service, foreign[1].Service = "t", "t"
 	take := func(age time.Duration, list ...directory.Replica) {
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: r.source.snapshot.Config, Replicas: list}, time.Now().Add(-age))
 	}
-	// Both of the other service vanished with the list: they keep their work for a while,
-	// but were last listed long ago.
+	// Both replicas of the other service vanished at once: they stay in use for a while, but
+	// were last listed long ago.
 	take(testListAge, foreign...)
 	take(0)
-	r.setListProof(testListProof)
-	require.Len(t, r.watcher.NotListedSince(time.Now().Add(-testListProof)), 2)
+	r.setMaxListAge(testMaxListAge)
+	require.Len(t, r.watcher.NotListedSince(time.Now().Add(-testMaxListAge)), 2)
 	response, text, err := r.send(t, "POST", "/single/x", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
@@ -144,55 +141,56 @@
 	assert.Equal(t, http.StatusOK, response.StatusCode, text)
 }
 
-// All replicas of a service were gone with one read, undeclared, and went on answering.
-// The list was doubted, as after an outage, though the source had answered all along.
-func TestReplicasThatVanishUndeclaredGetNothingPastTheBound(t *testing.T) {
+// All replicas of a service vanish in one read, undeclared, and keep answering. Guards against
+// using them past the bound because the list is distrusted, as after an outage, although the
+// source answered all along.
+func TestVanishedReplicasExcludedPastBound(t *testing.T) {
 	first, arrivals := replica(t, answerOK)
 	second, arrivalsToo := replica(t, answerOK)
-	r := newStillRig(t, first, second)
+	r := newEmptyRig(t, first, second)
 	list := r.source.snapshot.Replicas
 	take := func(age time.Duration, list ...directory.Replica) {
 		r.watcher.ApplySnapshot(watch.Snapshot{Config: r.source.snapshot.Config, Replicas: list}, time.Now().Add(-age))
 	}
 	take(testListAge, list...)
 	take(0)
-	require.Len(t, r.watcher.Replicas(), len(list), "they are doubted")
+	require.Len(t, r.watcher.Replicas(), len(list), "they are kept as unconfirmed")
 	for _, gone := range list {
 		r.watcher.Statements().MarkServing(gone.ID, time.Now(), time.Now())
 	}
-	r.setListProof(testListProof)
-	r.wantNotRun(t)
+	r.setMaxListAge(testMaxListAge)
+	r.requireNotRun(t)
 	assert.Zero(t, arrivals.Load()+arrivalsToo.Load())
 }
 
-// While a connection is opened a newer list may come, which says that the replica leaves
-// or has left. By then the one that named it may be older than any that may be used.
-func TestAReplicaThatLeavesWhileItIsConnectedToGetsNothing(t *testing.T) {
+// While a connection is opened, a newer list may say that the replica is leaving or gone. By
+// then the list that named it may be too old to use.
+func TestReplicaLeavingDuringConnectGetsNothing(t *testing.T) {
 	for name, state := range map[string]directory.State{"draining": directory.Draining, "gone": directory.Ready} {
 		t.Run(name, func(t *testing.T) {
 			address, arrivals := replica(t, answerOK)
 			r := newAgedRig(t, testListAge, address)
-			r.setListProof(2 * testListAge)
+			r.setMaxListAge(2 * testListAge)
 			newer := slices.Clone(r.source.snapshot.Replicas)
 			newer[0].State = state
 			if name == "gone" {
-				// It is no outage: one of three.
+				// One of three is too few for an outage.
 				others := []directory.Replica{{ID: "a", Service: "t"}, {ID: "b", Service: "t"}}
 				newer = others
 			}
-			r.onceConnected(func() {
+			r.onConnect(func() {
 				r.watcher.ApplySnapshot(watch.Snapshot{Config: r.source.snapshot.Config, Replicas: newer}, time.Now())
-				r.setListProof(testListProof)
+				r.setMaxListAge(testMaxListAge)
 			})
-			r.wantNotRun(t)
+			r.requireNotRun(t)
 			assert.Zero(t, arrivals.Load())
 		})
 	}
 }
 
-// Behind a cut, a replica that leaves and one whose entry lapsed both vanish from the list. That
-// it closes its connections tells the first from the second.
-func TestAnUnconfirmedReplicaThatClosesItsConnectionsGetsNothingMore(t *testing.T) {
+// Behind a network partition, a replica that leaves and one whose entry expired both vanish
+// from the list. Only the one that leaves closes its connections.
+func TestUnconfirmedReplicaClosingConnectionsExcluded(t *testing.T) {
 	tests := map[string]struct {
 		closes bool
 		want   int
@@ -208,13 +206,13 @@
 				}
 				fmt.Fprint(w, "ok")
 			})
-			r := newStillRig(t, address, "gone:1")
-			r.setListProof(testListProof)
+			r := newEmptyRig(t, address, "gone:1")
+			r.setMaxListAge(testMaxListAge)
 			config := r.source.snapshot.Config
 			r.watcher.ApplySnapshot(r.source.snapshot, time.Now().Add(-testListAge))
-			r.source.reportFailure(assert.AnError)
+			r.source.fail(assert.AnError)
 			require.Error(t, r.watcher.RefreshList(t.Context(), time.Now()))
-			require.True(t, r.watcher.StoreUnavailable(testListProof, time.Now()))
+			require.True(t, r.watcher.StoreUnavailable(testMaxListAge, time.Now()))
 			r.watcher.ApplySnapshot(watch.Snapshot{Config: config}, time.Now())
 			response, text, err := r.send(t, "POST", "/repeat/x", "")
 			require.NoError(t, err)
@@ -226,9 +224,9 @@
 	}
 }
 
-// That a request goes to a replica which no list names any more is told with the choice.
-func TestAChoiceOfAnUnconfirmedReplicaIsLoggedAsSuch(t *testing.T) {
-	r := newStillRig(t, "one:1", "two:1")
+// The log of a choice says if no list names the replica any more.
+func TestChoiceLogMarksUnconfirmedReplica(t *testing.T) {
+	r := newEmptyRig(t, "one:1", "two:1")
 	var written bytes.Buffer
 	r.front.log = event.New(&written, "here", logrus.InfoLevel)
 	c := &call{front: r.front, id: "id-1"}
--- a/internal/front/statements_test.go
+++ b/internal/front/statements_test.go
@@ -90,12 +90,12 @@
 // time, whatever the list says about it and whether or not a list can be read.
 func TestShutdownAnnouncementExcludesReplica(t *testing.T) {
 	tests := map[string]func(t *testing.T, r *rig){
-		"listed as ready": func(t *testing.T, r *rig) { r.list(t) },
+		"listed as ready": func(t *testing.T, r *rig) { r.addReplicas(t) },
 		"listed by an older read": func(t *testing.T, r *rig) {
 			require.NoError(t, r.watcher.ApplySnapshot(r.source.snapshot, steady.Now().Add(-time.Millisecond)))
 		},
 		"the store answers nobody": func(t *testing.T, r *rig) {
-			r.source.reportFailure(assert.AnError)
+			r.source.fail(assert.AnError)
 			require.Error(t, r.watcher.RefreshList(t.Context(), steady.Now()))
 		},
 		"its entry lapsed and came back": func(t *testing.T, r *rig) {
@@ -110,10 +110,10 @@
 		t.Run(name, func(t *testing.T) {
 			leaves, stays := newScriptedReplica(t), newScriptedReplica(t)
 			r := newRig(t, leaves.address, stays.address)
-			r.setListProof(testListProof)
+			r.setMaxListAge(testMaxListAge)
 			leaves.setAnswer(answerLeaving)
 			r.sendUntil(t, leaves)
-			advanceClock(t, testListProof)
+			advanceClock(t, testMaxListAge)
 			happens(t, r)
 			assert.Equal(t, manyRequests, r.sendMany(t, manyRequests))
 			assert.Zero(t, leaves.arrivals.Load())
@@ -126,14 +126,14 @@
 func TestLastReplicaServesUntilDrainBound(t *testing.T) {
 	leaves := newScriptedReplica(t)
 	r := newRig(t, leaves.address)
-	r.setListProof(testListProof)
+	r.setMaxListAge(testMaxListAge)
 	leaves.setAnswer(answerLeaving)
 	r.sendUntil(t, leaves)
-	advanceClock(t, testListProof/2)
+	advanceClock(t, testMaxListAge/2)
 	assert.Equal(t, manyRequests, r.sendMany(t, manyRequests), "within the bound")
 	leaves.arrivals.Store(0)
-	advanceClock(t, testListProof/2)
-	r.wantNotRun(t)
+	advanceClock(t, testMaxListAge/2)
+	r.requireNotRun(t)
 	assert.Zero(t, leaves.arrivals.Load())
 }
 
@@ -144,7 +144,7 @@
 		t.Run(name, func(t *testing.T) {
 			leaves, stays := newScriptedReplica(t), newScriptedReplica(t)
 			r := newRig(t, leaves.address, stays.address)
-			r.setListProof(testListProof)
+			r.setMaxListAge(testMaxListAge)
 			started := func(born int64) {
 				r.source.mu.Lock()
 				r.source.snapshot.Replicas = slices.Clone(r.source.snapshot.Replicas)
@@ -157,7 +157,7 @@
 			leaves.setAnswer(says)
 			r.sendUntil(t, leaves)
 			leaves.setAnswer(answerOK)
-			advanceClock(t, testListProof)
+			advanceClock(t, testMaxListAge)
 			started(2)
 			r.sendUntil(t, leaves)
 		})
@@ -173,7 +173,7 @@
 		w.Header().Set("Leaving", "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	})
-	r.wantNotRun(t)
+	r.requireNotRun(t)
 	assert.Zero(t, r.watcher.Statements().Get("r0"))
 }
 
@@ -197,7 +197,7 @@
 			rests.setAnswer(answerResting(test.retryAfter, test.marked))
 			r.sendUntil(t, rests)
 			advanceClock(t, test.rest-time.Second)
-			r.list(t)
+			r.addReplicas(t)
 			assert.Equal(t, manyRequests, r.sendMany(t, manyRequests), "the other replica serves")
 			assert.Zero(t, rests.arrivals.Load())
 			rests.setAnswer(answerOK)
@@ -253,8 +253,8 @@
 		t.Run(name, func(t *testing.T) {
 			replica, other := newScriptedReplica(t), newScriptedReplica(t)
 			r := newRig(t, replica.address, other.address)
-			r.setListProof(testListProof)
-			r.onceConnected(func() {
+			r.setMaxListAge(testMaxListAge)
+			r.onConnect(func() {
 				if replica.arrivals.Load()+other.arrivals.Load() == 0 {
 					says(r.watcher.Statements())
 				}
@@ -284,7 +284,7 @@
 	r := newRig(t, "127.0.0.1:1", serves.address, "127.0.0.1:2")
 	var written bytes.Buffer
 	r.front.log = event.New(&written, "here", logrus.InfoLevel)
-	r.setListProof(testListProof)
+	r.setMaxListAge(testMaxListAge)
 	now := steady.Now()
 	r.watcher.Statements().MarkDraining("r0", now, now)
 	r.watcher.Statements().MarkResting("r2", now, now.Add(time.Hour), now)
