--- a/pkg/fleet/digest.go
+++ b/pkg/fleet/digest.go
@@ -14,7 +14,7 @@
 	return ID(hash >> 32)
 }
 
-// GroupLoad is what an owner tells of one of its groups.
+// GroupLoad is the load of one group, as reported by a router that owns it.
 type GroupLoad struct {
 	Group ID
 	// Load is the requests queued and in flight per engine.
@@ -27,30 +27,30 @@
 	Rate         float64
 }
 
-// EngineCount is how many requests the sender runs at an engine that the
+// EngineCount is the number of requests that the sender has in flight at an engine that the
 // receiver owns or owned.
 type EngineCount struct {
 	Engine   uint64
 	InFlight int
 }
 
-// Digest is one message between routers: what the sender knows of itself, or,
-// relayed, the sum of its line in the grid (see PartnersOf).
+// Digest is one message between routers: the sender's own state or, if relayed, the sum of
+// its row of the grid (see PartnersOf).
 type Digest struct {
 	Sender ID
-	// Sequence grows with each digest of a sender.
+	// Sequence increases with each digest of a sender.
 	Sequence uint32
 	Relayed  bool
 	Loads    []GroupLoad
-	// Demands are the largest, largest first.
+	// Demands holds the largest demands, largest first.
 	Demands []Demand
-	// Leaving are short hashes of the names of targets seen leaving.
+	// Leaving holds the short name hashes of targets that were seen leaving.
 	Leaving []ID
-	// Engines is filled only while views of the owners differ.
+	// Engines is set only while routers disagree about owners.
 	Engines []EngineCount
 	// Version is the sender's configuration version.
 	Version uint64
-	// Stopping tells that the sender is about to stop.
+	// Stopping is set if the sender is about to stop.
 	Stopping bool
 }
 
@@ -58,23 +58,22 @@
 // largest demand matter: a small one never reaches its limit.
 const MaxDemands = 8
 
-// StaleAfter is the age at which a digest counts no more.
+// StaleAfter is the age above which a digest is ignored.
 const StaleAfter = 15 * time.Second
 
-// DigestTable holds the newest digest of every sender. It is not safe for concurrent
-// use.
+// DigestTable holds the newest digest of every sender. It is not safe for concurrent use.
 //
-// Figures of different digests add up: two routers that both believe that they
-// own a group each tell the part that they dispatched. Where views of the grid
-// differ a router may come by two ways and count twice for a moment, which costs
-// exactness only; carrying the routers' names would cost bytes (docs/design/digests.md).
+// Values of different digests are added: two routers that both believe that they own a group
+// each report the part that they dispatched. While routers disagree about the grid, a router
+// may arrive by two paths and briefly count twice, which costs only accuracy; carrying router
+// names would cost bytes (docs/design/digests.md).
 type DigestTable struct {
 	self     ID
 	digests  map[source]entry
 	stopping map[ID]time.Time
 }
 
-// source tells which kind of digest of which sender an entry is.
+// source identifies an entry by its sender and kind of digest.
 type source struct {
 	sender  ID
 	relayed bool
@@ -85,13 +84,12 @@
 	at time.Time
 }
 
-// NewDigestTable returns the empty board of router self.
+// NewDigestTable returns an empty table for the router self.
 func NewDigestTable(self ID) *DigestTable {
 	return &DigestTable{self: self, digests: make(map[source]entry), stopping: make(map[ID]time.Time)}
 }
 
-// Put enters a digest that arrived at now. One that was overtaken by a newer
-// one is left out.
+// Put stores a digest that arrived at now, unless a newer one of its sender came before it.
 func (b *DigestTable) Put(d Digest, now time.Time) {
 	from := source{d.Sender, d.Relayed}
 	held, known := b.digests[from]
@@ -105,7 +103,7 @@
 	}
 }
 
-// DropStale drops what is older than StaleAfter.
+// DropStale removes everything older than StaleAfter.
 func (b *DigestTable) DropStale(now time.Time) {
 	for from, e := range b.digests {
 		if now.Sub(e.at) > StaleAfter {
@@ -119,17 +117,17 @@
 	}
 }
 
-// Stopping tells whether a router said that it stops.
+// Stopping reports whether a router announced that it is about to stop.
 func (b *DigestTable) Stopping(router ID) bool {
 	_, stopping := b.stopping[router]
 	return stopping
 }
 
-// Len returns the number of digests held.
+// Len returns the number of digests in the table.
 func (b *DigestTable) Len() int { return len(b.digests) }
 
-// AddGroupLoads adds each group's load into loads, whose index says where a group
-// stands. A negative figure is unknown; unknown groups stay as they are.
+// AddGroupLoads adds each group's load to loads, where index gives the group's position. A
+// negative load is unknown, and stays so if no digest has a load of the group.
 func (b *DigestTable) AddGroupLoads(index map[ID]int, loads []float64) {
 	for _, e := range b.digests {
 		for _, g := range e.Loads {
@@ -140,8 +138,8 @@
 	}
 }
 
-// OthersDemand returns what the organisation asks of the other routers, in
-// work tokens a second, or -1 when no digest is fresh.
+// OthersDemand returns the organisation's demand at the other routers, in work tokens a
+// second, or -1 if there is no fresh digest.
 func (b *DigestTable) OthersDemand(organisation ID) float64 {
 	if len(b.digests) == 0 {
 		return -1
@@ -157,8 +155,8 @@
 	return sum
 }
 
-// Aggregate makes the digest that a router sends to its column: the sum of its own
-// and those that came directly from its line.
+// Aggregate returns the digest that a router sends to its column: the sum of its own and those
+// received directly from its row.
 func (b *DigestTable) Aggregate(own Digest, line []ID) Digest {
 	d := own
 	d.Relayed = true
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -1,17 +1,16 @@
-// Package fleet is what one router believes of the others and of the targets.
+// Package fleet holds one router's view of the other routers and of the targets.
 //
-//	platform's list (lagging) ─┐
-//	own failures and successes ├─> View: who may get new work
-//	leaving, told by peers     ─┘
+//	platform's list (lagging)    ─┐
+//	observed failures, successes  ├─> View: which targets may get new work
+//	departures reported by peers ─┘
 //
-//	Board: the newest load digest of every router, spread by Partners
+//	DigestTable: the newest load digest of every router, sent to Partners
 //
-// Nothing here is agreed on. Two routers may believe different things for
-// seconds; the packages above are built so that this costs exactness only.
-// The package does no I/O; time comes from the caller.
+// There is no consensus. Routers may disagree for seconds; the packages that use this one
+// are built so that this costs only accuracy. The package does no I/O; callers pass the time.
 package fleet
 
-// Role tells what an instance of the platform's list does.
+// Role is the function of an instance in the platform's list.
 type Role string
 
 // The roles.
@@ -21,7 +20,7 @@
 	RoleService Role = "service"
 )
 
-// State is what the platform says of an instance.
+// State is the state of an instance according to the platform.
 type State string
 
 // The states.
@@ -35,15 +34,15 @@
 	Name       string `json:"name"`
 	Role       Role   `json:"role"`
 	DataCentre string `json:"data_centre"`
-	// Address is where requests go: the peers' listener of a router, the HTTP
-	// listener of a target.
+	// Address is the listener for requests: that for peers of a router, the HTTP listener of
+	// a target.
 	Address string `json:"address"`
 	State   State  `json:"state"`
-	// Models and Adapters are what an engine serves.
+	// Models and Adapters are those that an engine serves.
 	Models   []string `json:"models,omitempty"`
 	Adapters []string `json:"adapters,omitempty"`
 	// Service is the name of the plain service that a target runs.
 	Service string `json:"service,omitempty"`
-	// ChecksOrders tells that the target refuses orders of an older token.
+	// ChecksOrders is set if the target refuses orders with an older token.
 	ChecksOrders bool `json:"checks_orders,omitempty"`
 }
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -103,7 +103,7 @@
 		for _, r := range routers {
 			require.Len(t, knows[r], n, "of %d", n)
 		}
-		if n > fullMesh {
+		if n > maxFullMesh {
 			assert.LessOrEqual(t, float64(most), 3*math.Sqrt(float64(n))+1, "%d partners of %d", most, n)
 		}
 	}
--- a/pkg/fleet/list.go
+++ b/pkg/fleet/list.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint names a version of the list by its content: the sum of its rows' hashes.
-// Two routers with the same rows have the same mark; the empty list has 0.
+// Fingerprint identifies a version of the list by its content: the sum of its rows' hashes.
+// Routers with the same rows have the same fingerprint; that of the empty list is 0.
 type Fingerprint uint64
 
-// FingerprintOf returns the mark of a list, whatever its order.
+// FingerprintOf returns the fingerprint of a list, which does not depend on its order.
 func FingerprintOf(list []Instance) Fingerprint {
 	sum := uint64(0)
 	for _, i := range list {
@@ -20,13 +20,13 @@
 	return Fingerprint(sum)
 }
 
-// ListDelta leads from one version of the list to another.
+// ListDelta is the difference between two versions of the list.
 type ListDelta struct {
 	Put     []Instance `json:"put,omitempty"`
 	Removed []string   `json:"removed,omitempty"`
 }
 
-// DeltaOf returns what leads from before to after.
+// DeltaOf returns the delta that turns before into after.
 func DeltaOf(before, after []Instance) ListDelta {
 	old := byName(before)
 	var d ListDelta
@@ -43,7 +43,7 @@
 	return d
 }
 
-// Apply returns the list after the delta; the list given is not changed.
+// Apply returns list with the delta applied, and leaves list unchanged.
 func (d ListDelta) Apply(list []Instance) []Instance {
 	rows := byName(list)
 	for _, name := range d.Removed {
@@ -73,15 +73,13 @@
 	return lists && fmt.Sprintf("%+v", a) == fmt.Sprintf("%+v", b)
 }
 
-// historySteps is how many changes of the list are kept. A router that asks
-// every second or two is never that far behind; one that is gets the whole list.
-const historySteps = 64
+// maxHistorySteps is how many changes of the list are kept. A router that polls every second
+// or two is never that far behind; one that is gets the complete list.
+const maxHistorySteps = 64
 
-// ListHistory holds a list and its last changes, so that a peer that holds an
-// earlier version is told only what changed. It is not safe for concurrent use.
-//
-//	Most routers read the list from a peer: the whole is long and changes often,
-//	a change is short.
+// ListHistory holds a list and its last changes, so that a peer with an earlier version gets
+// only the difference. Most routers read the list from a peer: the list is long and changes
+// often, but each change is short. It is not safe for concurrent use.
 type ListHistory struct {
 	list  []Instance
 	mark  Fingerprint
@@ -93,20 +91,20 @@
 	delta ListDelta
 }
 
-// List returns the newest list, not to be changed.
+// List returns the newest list, which the caller must not modify.
 func (h *ListHistory) List() []Instance { return h.list }
 
-// Fingerprint returns the newest list's mark.
+// Fingerprint returns the fingerprint of the newest list.
 func (h *ListHistory) Fingerprint() Fingerprint { return h.mark }
 
-// Update enters a newer list and tells whether it differs from the last.
+// Update stores a newer list and reports whether it differs from the previous one.
 func (h *ListHistory) Update(list []Instance) bool {
 	mark := FingerprintOf(list)
 	if mark == h.mark {
 		return false
 	}
 	h.steps = append(h.steps, listStep{from: h.mark, delta: DeltaOf(h.list, list)})
-	if extra := len(h.steps) - historySteps; extra > 0 {
+	if extra := len(h.steps) - maxHistorySteps; extra > 0 {
 		h.steps = slices.Delete(h.steps, 0, extra)
 	}
 	h.list = list
@@ -114,13 +112,13 @@
 	return true
 }
 
-// DeltaSince returns what leads from an earlier version to the newest. known is
-// false when that version is not kept; the whole list is then needed.
+// DeltaSince returns the delta from an earlier version to the newest. known is false if that
+// version is no longer kept, in which case the complete list is needed.
 func (h *ListHistory) DeltaSince(mark Fingerprint) (d ListDelta, known bool) {
 	if mark == h.mark {
 		return ListDelta{}, true
 	}
-	// The last step from this version, should the list have been the same twice.
+	// The last step from this version, since the list may have had it more than once.
 	first := -1
 	for i, step := range h.steps {
 		if step.from == mark {
@@ -133,7 +131,7 @@
 	return compose(h.steps[first:]), true
 }
 
-// compose joins steps into one delta.
+// compose merges steps into one delta.
 func compose(steps []listStep) ListDelta {
 	put := make(map[string]Instance)
 	removed := make(map[string]bool)
--- a/pkg/fleet/list_test.go
+++ b/pkg/fleet/list_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Property tests draw the same cases in every run.
+// A fixed seed makes property tests draw the same cases in every run.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
 
 func TestListDelta(t *testing.T) {
@@ -24,11 +24,11 @@
 	assert.NotEqual(t, FingerprintOf(before), FingerprintOf(after))
 }
 
-func TestHistoryForgets(t *testing.T) {
+func TestHistoryBounded(t *testing.T) {
 	var h ListHistory
 	first := []Instance{{Name: "0"}}
 	h.Update(first)
-	for i := range historySteps {
+	for i := range maxHistorySteps {
 		require.True(t, h.Update([]Instance{{Name: fmt.Sprint(i + 1)}}))
 	}
 	_, known := h.DeltaSince(FingerprintOf(first))
@@ -39,8 +39,8 @@
 	assert.False(t, h.Update(nil), "nothing new")
 }
 
-// TestHistoryLeadsFromAnyVersionToTheNewest changes a list at random.
-func TestHistoryLeadsFromAnyVersionToTheNewest(t *testing.T) {
+// Applies random changes and checks the delta from each version to the newest.
+func TestHistoryDeltaFromEveryVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h ListHistory
 		versions := [][]Instance{nil}
--- a/pkg/fleet/partners.go
+++ b/pkg/fleet/partners.go
@@ -6,31 +6,30 @@
 	"time"
 )
 
-// fullMesh is the number of routers up to which each one tells all others.
-const fullMesh = 16
+// maxFullMesh is the number of routers up to which each one sends to all others.
+const maxFullMesh = 16
 
 // Partners are the routers that one router sends its digests to.
 type Partners struct {
-	// Direct get the router's own row: its line, or everyone in a small fleet.
+	// Direct get the router's own digest: its row of the grid, or all others in a small fleet.
 	Direct []uint64
-	// Relayed get the rows of the whole line: its column. Empty in a small fleet.
+	// Relayed get the sum of the row: its column of the grid. Empty in a small fleet.
 	Relayed []uint64
 }
 
-// PartnersOf returns the partners of self among routers (hashes of names, self
-// may be among them).
+// PartnersOf returns the partners of self among routers, which are hashes of names and may
+// include self.
 //
-// Up to 16 routers each tells all others. Beyond, the routers stand in a grid,
-// dealt in the order of their hashes, so that lines differ by one at most:
+// Up to 16 routers form a full mesh. More form a grid, filled column by column in the order of
+// their hashes, so that the lengths of rows differ by at most one:
 //
-//	line 0: a d g j     each tells its own row to its line   (d tells a g j)
-//	line 1: b e h k     and the sum of its line to its column (d tells e f)
-//	line 2: c f i       line 2 has nobody in the last column: i also tells j k
+//	row 0: a d g j     each sends its own digest to its row   (d to a g j)
+//	row 1: b e h k     and the sum of its row to its column   (d to e f)
+//	row 2: c f i       row 2 lacks the last column: i also sends to j k
 //
-// So news crosses the fleet in two steps and each router sends about
-// 2 x sqrt(n) messages. Random gossip was ruled out: at equal staleness each
-// row arrives several times, and bytes are what is scarce. A router that fails
-// cuts one line off one column until the live views drop it.
+// Updates cross the fleet in two steps and each router sends about 2 x sqrt(n) messages.
+// Random gossip was ruled out: for the same staleness each digest arrives several times, and
+// bandwidth is scarce. A failed router cuts one row off one column until the views drop it.
 func PartnersOf(self uint64, routers []uint64) Partners {
 	sorted := slices.Clone(routers)
 	slices.Sort(sorted)
@@ -39,7 +38,7 @@
 	if !found {
 		sorted = slices.Insert(sorted, at, self)
 	}
-	if len(sorted) <= fullMesh {
+	if len(sorted) <= maxFullMesh {
 		return Partners{Direct: slices.Delete(sorted, at, at+1)}
 	}
 	return gridPartners(sorted, at)
@@ -49,7 +48,7 @@
 	lines := int(math.Round(math.Sqrt(float64(len(sorted)))))
 	line, column := at%lines, at/lines
 	lastColumn := (len(sorted) - 1) / lines
-	// A line without anyone in the last column has its last member stand in.
+	// The last router of a row that lacks the last column stands in for that column.
 	standsIn := column == lastColumn-1 && at+lines >= len(sorted)
 	var p Partners
 	for i, router := range sorted {
@@ -65,13 +64,13 @@
 	return p
 }
 
-// slowFrom is the number of routers from which digests are sent half as often.
-const slowFrom = 64
+// doublePeriodFrom is the number of routers from which the period is doubled.
+const doublePeriodFrom = 64
 
-// ScaledPeriod returns the pause between two digests in a data centre of so many
-// routers. In a large one a router would otherwise spend more than its budget.
+// ScaledPeriod returns the period between digests in a data centre with the given number of
+// routers. In a large one a router would otherwise exceed its bandwidth budget.
 func ScaledPeriod(base time.Duration, routers int) time.Duration {
-	if routers >= slowFrom {
+	if routers >= doublePeriodFrom {
 		return 2 * base
 	}
 	return base
