--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -124,7 +124,7 @@
 		SilenceTimeout: e.settings.Routes.Silence,
 		IdleTime:       e.settings.Routes.Keep,
 		Opened:         func(string) { e.metrics.ConnectionsOpened.Inc(1) },
-		Silenced: func(address string, dropped int) {
+		OnSilent: func(address string, dropped int) {
 			e.log.Write(event.ConnsSilent, event.F("address", address), event.F("dropped", dropped))
 		},
 	})
@@ -145,7 +145,7 @@
 	}, e.watcher, e.holder, e.balancer, e.pool, e.metrics, e.log)
 	e.balancer.SetReplicaHooks(balance.ReplicaHooks{
 		Restarted: func(id, address string) {
-			e.pool.Drop(address)
+			e.pool.DropIdleTo(address)
 			e.front.ReplicaRestarted(id, steady.Now())
 		},
 		Removed: func(id string) { e.front.ReplicaRemoved(id, steady.Now()) },
@@ -352,6 +352,6 @@
 			}
 			e.log.Write(id, event.F("proof_ms", e.watcher.Staleness(steady.Now()).Milliseconds()))
 		}
-		e.pool.CloseIdle()
+		e.pool.CloseExpired()
 	}
 }
--- a/internal/upstream/ended.go
+++ b/internal/upstream/ended.go
@@ -54,8 +54,8 @@
 	return Rejecting
 }
 
-// Drop closes the connections to an address that rest: what they led to has ended.
-func (p *Pool) Drop(address string) {
+// DropIdleTo closes the connections to an address that rest: what they led to has ended.
+func (p *Pool) DropIdleTo(address string) {
 	p.mu.Lock()
 	idle := p.idle[address]
 	delete(p.idle, address)
--- a/internal/upstream/ended_test.go
+++ b/internal/upstream/ended_test.go
@@ -36,7 +36,7 @@
 			pool := New(Options{DialTimeout: time.Second, SilenceTimeout: time.Second, IdleTime: time.Minute})
 			assert.Equal(t, test.state, pool.Probe(t.Context(), listener.Addr().String()))
 			assert.Equal(t, test.state == Listening, pool.Idle() == 1, "the look's connection is kept")
-			pool.Drop(listener.Addr().String())
+			pool.DropIdleTo(listener.Addr().String())
 			assert.Zero(t, pool.Idle())
 		})
 	}
--- a/internal/upstream/silent.go
+++ b/internal/upstream/silent.go
@@ -107,8 +107,8 @@
 	}
 	p.mu.Unlock()
 	closeAll(dropped)
-	if len(dropped) > 0 && p.options.Silenced != nil {
-		p.options.Silenced(c.address, len(dropped))
+	if len(dropped) > 0 && p.options.OnSilent != nil {
+		p.options.OnSilent(c.address, len(dropped))
 	}
 }
 
--- a/internal/upstream/silent_test.go
+++ b/internal/upstream/silent_test.go
@@ -59,7 +59,7 @@
 	relay := relayed(t, kept)
 	silenced := make(chan string, kept)
 	pool := New(Options{IDHeader: "Try", DialTimeout: time.Second, SilenceTimeout: 100 * time.Millisecond, IdleTime: time.Minute,
-		Silenced: func(address string, _ int) { silenced <- address }})
+		OnSilent: func(address string, _ int) { silenced <- address }})
 	var asked sync.WaitGroup
 	for range kept {
 		asked.Go(func() { assert.NoError(t, ask(context.Background(), pool, relay.Address())) })
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -47,9 +47,9 @@
 	IdleTime time.Duration
 	// Opened is called for each connection that was opened. It may be nil.
 	Opened func(address string)
-	// Silenced is called when a kept connection to an address turned out to be silent,
+	// OnSilent is called when a kept connection to an address turned out to be silent,
 	// with how many that rested were dropped for it. It may be nil.
-	Silenced func(address string, dropped int)
+	OnSilent func(address string, dropped int)
 }
 
 // Pool keeps connections to replicas. It is safe for concurrent use.
@@ -228,8 +228,8 @@
 	return r.ContentLength >= 0 || len(r.TransferEncoding) > 0
 }
 
-// CloseIdle closes the connections that rested too long.
-func (p *Pool) CloseIdle() { closeAll(p.takeExpired(steady.Now())) }
+// CloseExpired closes the connections that rested too long.
+func (p *Pool) CloseExpired() { closeAll(p.takeExpired(steady.Now())) }
 
 func (p *Pool) takeExpired(now time.Time) (expired []*conn) {
 	p.mu.Lock()
