--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -10,21 +10,21 @@
 	"github.com/croftyard/croftyard/internal/steady"
 )
 
-// Answer is a replica's answer whose head has arrived. Body must be read to its
+// Answer is a replica's response whose head has arrived. Body must be read to its
 // end or closed. Close must be called.
 type Answer struct {
 	*http.Response
-	pool  *Pool
-	conn  *conn
-	stop  func() bool
-	wrote chan error
-	ended bool
+	pool       *Pool
+	conn       *conn
+	stop       func() bool
+	wrote      chan error
+	reachedEOF bool
 }
 
-// Close ends the answer. The connection is kept if the body was read to its
-// end and nothing else came, else it is closed.
+// Close releases the connection. It is kept if the body was read to its end and
+// no further bytes arrived, and closed otherwise.
 func (a *Answer) Close() {
-	if !a.stop() || !a.ended || !a.reusable() {
+	if !a.stop() || !a.reachedEOF || !a.reusable() {
 		a.conn.Close()
 		return
 	}
@@ -32,11 +32,11 @@
 	a.pool.put(a.conn)
 }
 
-// Read reads the body and notes its end.
+// Read reads the body and records when it reaches the end.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.Body.Read(p)
 	if err == io.EOF {
-		a.ended = true
+		a.reachedEOF = true
 	}
 	return n, err
 }
@@ -52,8 +52,8 @@
 	case err := <-a.wrote:
 		return err == nil
 	default:
-		// The replica answered before it had read the request: what it reads
-		// next would be the rest of that request.
+		// The replica answered before it had read the whole request, so it would
+		// read the rest of this request as the next one.
 		return false
 	}
 }
@@ -62,7 +62,7 @@
 	return a.StatusCode != http.StatusNoContent && a.StatusCode != http.StatusNotModified
 }
 
-// keepTime is how long the connection may rest: less than the replica keeps it.
+// keepTime returns how long the connection may stay idle: less than the replica keeps it.
 func (a *Answer) keepTime() time.Duration {
 	const margin = time.Second
 	keep := a.pool.options.IdleTime
--- a/internal/upstream/takeback_test.go
+++ b/internal/upstream/cancel_test.go
@@ -13,20 +13,20 @@
 	"github.com/croftyard/croftyard/internal/faulty"
 )
 
-// Seen: a request was given up behind a cut and answered elsewhere. Three seconds after the cut
-// had healed its bytes reached the replica all the same, which had left by then.
-func TestARequestThatWasGivenUpIsNotDeliveredLater(t *testing.T) {
+// A request cancelled during a network partition was answered elsewhere. Three seconds after
+// the partition healed, its bytes still reached the first replica, which had left by then.
+func TestCancelledRequestIsNotDeliveredLater(t *testing.T) {
 	replica, err := faulty.NewNarrow()
 	require.NoError(t, err)
 	defer replica.Close()
 	pool := New(Options{IDHeader: "Try", DialTimeout: time.Second, SilenceTimeout: time.Minute, IdleTime: time.Minute})
-	ctx, giveUp := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		replica.Begun()
-		giveUp()
+		cancel()
 	}()
 	request := &Request{Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{"Try": {"a"}}, Body: make([]byte, 1<<17), ID: "a"}
 	_, err = pool.Do(ctx, replica.Address(), request)
 	require.ErrorIs(t, err, ErrBroken)
-	assert.ErrorIs(t, replica.Rest(), syscall.ECONNRESET, "the system still had it, and delivered it")
+	assert.ErrorIs(t, replica.Rest(), syscall.ECONNRESET, "the kernel kept the request and delivered it")
 }
--- a/internal/upstream/ended.go
+++ b/internal/upstream/ended.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// probeHold is how long a connection that was just opened is observed: a process that ends
-// may still accept one while its others are closed already.
-const probeHold = 30 * time.Millisecond
+// probeObservation is how long Probe observes a new connection: a process that is
+// terminating may still accept one after it has closed its others.
+const probeObservation = 30 * time.Millisecond
 
-// probeTries is how many connections are opened at most.
+// probeTries is the largest number of connections that Probe opens.
 const probeTries = 2
 
-// ProcessState is what can be seen from here of the process at an address.
+// ProcessState is the state of the process at an address, as seen by connecting to it.
 type ProcessState uint8
 
 // The states.
 const (
-	// Unreachable: no connection could be opened, and none was refused.
+	// Unreachable: connecting failed, but was not refused.
 	Unreachable ProcessState = iota
-	// Rejecting: what listens there takes connections and closes them, a replica for which one
-	// more is too much, or something that stands before one that has ended.
+	// Rejecting: the listener accepts connections and closes them. It is a replica that
+	// cannot take one more, or an intermediary in front of a process that has ended.
 	Rejecting
-	// Listening: it takes connections.
+	// Listening: the process accepts connections and keeps them open.
 	Listening
-	// Ended: nothing listens there any more.
+	// Ended: nothing listens at the address any more.
 	Ended
 )
 
-// Probe finds the state of the process at an address. A connection that was opened for it
-// is kept for requests.
+// Probe determines the state of the process at an address. If the process is listening,
+// Probe keeps the connection for requests.
 func (p *Pool) Probe(ctx context.Context, address string) ProcessState {
 	for range probeTries {
 		c, err := p.dial(ctx, address)
@@ -42,10 +42,10 @@
 			return Unreachable
 		}
 		select {
-		case <-time.After(probeHold):
+		case <-time.After(probeObservation):
 		case <-ctx.Done():
 		}
-		if c.quiet() {
+		if c.isQuiet() {
 			p.keepUnused(c)
 			return Listening
 		}
@@ -54,7 +54,7 @@
 	return Rejecting
 }
 
-// DropIdleTo closes the connections to an address that rest: what they led to has ended.
+// DropIdleTo closes the idle connections to an address whose process has ended.
 func (p *Pool) DropIdleTo(address string) {
 	p.mu.Lock()
 	idle := p.idle[address]
--- a/internal/upstream/ended_test.go
+++ b/internal/upstream/ended_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOnlyWhatListensNoMoreHasEnded(t *testing.T) {
+func TestProbeReportsProcessState(t *testing.T) {
 	tests := map[string]struct {
-		// serve is what befalls each connection, in order.
+		// serve handles the n-th accepted connection.
 		serve func(n int, l net.Listener, c net.Conn)
 		state ProcessState
 	}{
-		"it serves on":                               {serve: func(int, net.Listener, net.Conn) {}, state: Listening},
-		"it resets what is too much for it":          {serve: func(_ int, _ net.Listener, c net.Conn) { c.Close() }, state: Rejecting},
-		"it took one more connection while it ended": {serve: func(_ int, l net.Listener, c net.Conn) { l.Close(); c.Close() }, state: Ended},
+		"keeps serving":                             {serve: func(int, net.Listener, net.Conn) {}, state: Listening},
+		"closes excess connections":                 {serve: func(_ int, _ net.Listener, c net.Conn) { c.Close() }, state: Rejecting},
+		"accepts one more connection while it ends": {serve: func(_ int, l net.Listener, c net.Conn) { l.Close(); c.Close() }, state: Ended},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -35,14 +35,14 @@
 			}()
 			pool := New(Options{DialTimeout: time.Second, SilenceTimeout: time.Second, IdleTime: time.Minute})
 			assert.Equal(t, test.state, pool.Probe(t.Context(), listener.Addr().String()))
-			assert.Equal(t, test.state == Listening, pool.Idle() == 1, "the look's connection is kept")
+			assert.Equal(t, test.state == Listening, pool.Idle() == 1, "the probe's connection is kept only if the process listens")
 			pool.DropIdleTo(listener.Addr().String())
 			assert.Zero(t, pool.Idle())
 		})
 	}
 }
 
-func TestNothingListensWhereAProcessEnded(t *testing.T) {
+func TestProbeReportsEndedWhenRefused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -6,21 +6,21 @@
 	"strconv"
 )
 
-// Request is what is sent.
+// Request is an HTTP request to a replica.
 type Request struct {
 	Method string
-	// URI is the path with its query, unaltered.
+	// URI is the path with its query, sent unaltered.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID must come back in the answer.
+	// ID must be echoed in the response.
 	ID string
-	// Check is called when there is a connection, right before the first byte is
+	// Check is called once a connection is available, right before the first byte is
 	// written; an error leaves the request unsent. It may be nil.
 	Check func() error
-	// Unacked is called, beside Do, if the request was written on a kept connection and
-	// its arrival was not confirmed in time. It may be nil.
+	// Unacked is called, concurrently with Do, if the request was written on a kept
+	// connection and not acknowledged in time. It may be nil.
 	Unacked func()
 }
 
@@ -31,12 +31,12 @@
 	return r.Check()
 }
 
-// smallRequest is the size up to which a request is written before the answer
-// is read. A replica may answer a larger one before it has read it.
+// smallRequest is the largest size, in bytes, at which a request is written in full
+// before the response is read. A replica may answer a larger one before reading it all.
 const smallRequest = 32 << 10
 
-// send writes the request. A large one is still being written when send
-// returns; wrote then tells the outcome.
+// send writes the request. A large request is still being written when send
+// returns; wrote then delivers the result of the write.
 func (c *conn) send(r *Request) (wrote chan error, written int, err error) {
 	wire := r.encode()
 	if len(wire) <= smallRequest {
@@ -55,7 +55,7 @@
 	var b bytes.Buffer
 	b.Grow(len(r.Body) + 1024)
 	b.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	// The error is that of the buffer, which has none.
+	// Writing to a bytes.Buffer never fails.
 	_ = r.Header.Write(&b)
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
--- a/internal/upstream/silent.go
+++ b/internal/upstream/silent.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Open connections may go silent without a reset, many that were open at one moment
-// together, while new ones work. Two things tell:
+// Open connections may go silent without a reset. Many that were open at the same time
+// then fail together, while new ones work. Two signs reveal this:
 //
-// The system knows whether the request's bytes were acknowledged. If not in ackTime,
-// the way is broken, whatever the replica does.
+// The kernel knows whether the request's bytes were acknowledged. If they were not
+// within ackTime, the network path is broken, whatever the replica does.
 //
-// What stands between may acknowledge and pass nothing on. Then a silent connection
-// looks like a slow replica, but for the others to it:
+// An intermediary may acknowledge the bytes and forward nothing. A silent connection
+// then looks like a slow replica; only other connections to the address tell them apart:
 //
 //	opened A ---- heard A ---- sent A . . . . . . nothing for SilenceTimeout
-//	opened B ------------------------- heard B    B lives, so A is only slow
+//	opened B ------------------------- heard B    B works, so A is only slow
 //
-// Without a B, what rests in the pool since before the request was sent is dropped.
+// Without such a B, the connections idle since before the request was sent are dropped.
 
-// ackTime is how long the bytes of a request may be unacknowledged on a kept
-// connection. One lost packet is sent again after 200 ms at least.
+// ackTime is how long the bytes of a request may stay unacknowledged on a kept
+// connection. TCP retransmits a lost packet after 200 ms at the earliest.
 const ackTime = 250 * time.Millisecond
 
-// epoch is where the pool's clock begins. It is steady.
+// epoch is the zero of the pool's monotonic clock.
 var epoch = time.Now()
 
 func clock() int64 { return int64(time.Since(epoch)) }
@@ -43,7 +43,7 @@
 	return c
 }
 
-// Read implements net.Conn and notes that something came.
+// Read implements net.Conn and records when bytes last arrived.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -63,46 +63,46 @@
 	return c.Conn.Close()
 }
 
-// watched makes an exchange. While a kept connection does not answer, it is looked
-// after it and the others.
-func (p *Pool) watched(ctx context.Context, c *conn, reused bool, r *Request) (*Answer, int, error) {
+// exchangeMonitored performs an exchange. On a kept connection that does not answer,
+// timers check for silence and drop idle connections that are silent too.
+func (p *Pool) exchangeMonitored(ctx context.Context, c *conn, reused bool, r *Request) (*Answer, int, error) {
 	if reused {
-		at := moment{before: c.heard.Load(), sent: clock()}
-		acked := time.AfterFunc(ackTime, func() { p.lookAfter(c, at, r) })
+		at := sendTimes{lastHeard: c.heard.Load(), sent: clock()}
+		acked := time.AfterFunc(ackTime, func() { p.checkAcknowledged(c, at, r) })
 		defer acked.Stop()
-		answered := time.AfterFunc(p.options.SilenceTimeout, func() { p.suspect(c, at, false) })
+		answered := time.AfterFunc(p.options.SilenceTimeout, func() { p.dropSilent(c, at, false) })
 		defer answered.Stop()
 	}
 	return p.exchange(ctx, c, r)
 }
 
-// moment is when a request was sent on a kept connection, and when something came
-// on it last before.
-type moment struct{ before, sent int64 }
+// sendTimes records when a request was sent on a kept connection, and when bytes last
+// arrived on it before that.
+type sendTimes struct{ lastHeard, sent int64 }
 
-// lookAfter looks whether the system has had no sign of a request's bytes.
-func (p *Pool) lookAfter(c *conn, at moment, r *Request) {
-	state, known := p.look(c.Conn)
+// checkAcknowledged drops silent connections if the bytes of a request are still unacknowledged.
+func (p *Pool) checkAcknowledged(c *conn, at sendTimes, r *Request) {
+	state, known := p.socketState(c.Conn)
 	if !known || !state.Unacked || c.heard.Load() > at.sent {
 		return
 	}
-	p.suspect(c, at, true)
+	p.dropSilent(c, at, true)
 	if r.Unacked != nil {
 		r.Unacked()
 	}
 }
 
-// suspect drops what rests since before a request was sent, if nothing came on its
-// connection and no other one shows that those of its time still work: to its
-// address, or to any if the way itself is broken.
-func (p *Pool) suspect(c *conn, at moment, broken bool) {
+// dropSilent drops the connections idle since before a request was sent, unless bytes have
+// arrived since on its connection or on another of the same age. It covers the request's
+// address, or all addresses if the network path is broken and none of them is live.
+func (p *Pool) dropSilent(c *conn, at sendTimes, broken bool) {
 	p.mu.Lock()
 	var dropped []*conn
 	switch {
 	case c.heard.Load() > at.sent:
-	case broken && !p.refutedAnywhere(at):
+	case broken && !p.hasLiveConnAnywhere(at):
 		dropped = p.takeAllSilent(at.sent)
-	case !p.refuted(c.address, at):
+	case !p.hasLiveConn(c.address, at):
 		dropped = p.takeSilent(c.address, at.sent)
 	}
 	p.mu.Unlock()
@@ -112,20 +112,20 @@
 	}
 }
 
-func (p *Pool) refutedAnywhere(at moment) bool {
+func (p *Pool) hasLiveConnAnywhere(at sendTimes) bool {
 	for address := range p.open {
-		if p.refuted(address, at) {
+		if p.hasLiveConn(address, at) {
 			return true
 		}
 	}
 	return false
 }
 
-// refuted tells whether a connection to an address that was open at a moment was
-// heard after it. p.mu is held.
-func (p *Pool) refuted(address string, at moment) bool {
+// hasLiveConn reports whether bytes arrived after at.sent on a connection to an address
+// that was already open at at.lastHeard. p.mu must be held.
+func (p *Pool) hasLiveConn(address string, at sendTimes) bool {
 	for c := range p.open[address] {
-		if c.opened <= at.before && c.heard.Load() > at.sent {
+		if c.opened <= at.lastHeard && c.heard.Load() > at.sent {
 			return true
 		}
 	}
@@ -139,7 +139,7 @@
 	return silent
 }
 
-// takeSilent takes out of the pool what rests since before a time. p.mu is held.
+// takeSilent removes the connections idle since before a time from the pool. p.mu must be held.
 func (p *Pool) takeSilent(address string, since int64) []*conn {
 	var silent, kept []*conn
 	for _, c := range p.idle[address] {
--- a/internal/upstream/silent_test.go
+++ b/internal/upstream/silent_test.go
@@ -18,9 +18,9 @@
 	"github.com/croftyard/croftyard/internal/socket"
 )
 
-// relayed returns a relay before a replica that answers each request once all of a
-// number of them are there.
-func relayed(t *testing.T, together int) *faulty.Relay {
+// newRelay returns a relay in front of a replica that answers its requests once the
+// given number of them have arrived.
+func newRelay(t *testing.T, together int) *faulty.Relay {
 	t.Helper()
 	var mu sync.Mutex
 	arrived, all := 0, make(chan struct{})
@@ -40,7 +40,7 @@
 	return relay
 }
 
-// ask sends one request and reads its answer.
+// ask sends one request and reads its response.
 func ask(ctx context.Context, p *Pool, address string) error {
 	answer, err := p.Do(ctx, address, &Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{"Try": {"a"}}, ID: "a"})
 	if err != nil {
@@ -54,9 +54,9 @@
 	return nil
 }
 
-func TestKeptConnectionsThatWentSilentAreDroppedTogether(t *testing.T) {
+func TestSilentIdleConnectionsAreDroppedTogether(t *testing.T) {
 	const kept = 4
-	relay := relayed(t, kept)
+	relay := newRelay(t, kept)
 	silenced := make(chan string, kept)
 	pool := New(Options{IDHeader: "Try", DialTimeout: time.Second, SilenceTimeout: 100 * time.Millisecond, IdleTime: time.Minute,
 		OnSilent: func(address string, _ int) { silenced <- address }})
@@ -74,25 +74,25 @@
 	assert.Equal(t, relay.Address(), <-silenced)
 	assert.Zero(t, pool.Idle())
 	require.NoError(t, ask(context.Background(), pool, relay.Address()))
-	assert.Equal(t, kept+1, relay.Opened(), "the next request does not meet another silent one")
+	assert.Equal(t, kept+1, relay.Opened(), "the next request does not use another silent connection")
 	cancel()
-	assert.ErrorIs(t, <-first, ErrBroken, "what was sent on it may have run")
+	assert.ErrorIs(t, <-first, ErrBroken, "the request sent on the silent connection may have run")
 	assert.Equal(t, 1, pool.Idle())
 }
 
-func TestConnectionsOfOneTimeSpeakForEachOther(t *testing.T) {
+func TestLiveConnectionOfSameAgePreventsDrop(t *testing.T) {
 	const before, sent = 100, 200
 	tests := map[string]struct {
 		ownHeard                int64
 		otherOpened, otherHeard int64
 		dropped                 bool
 	}{
-		"nothing is heard of any":                 {before, 50, 60, true},
-		"its own answer has begun":                {201, 50, 60, false},
-		"another of its time is heard":            {before, 50, 300, false},
-		"one is heard that was opened only after": {before, 150, 300, true},
-		"another was heard before it was sent":    {before, 50, 199, true},
-		"another was opened as it was heard last": {before, before, 300, false},
+		"nothing arrives on any connection":             {before, 50, 60, true},
+		"its own response has begun":                    {201, 50, 60, false},
+		"another of the same age is live":               {before, 50, 300, false},
+		"the live one was opened later":                 {before, 150, 300, true},
+		"another was last heard before the send":        {before, 50, 199, true},
+		"another was opened as this one was last heard": {before, before, 300, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -103,13 +103,13 @@
 			other.heard.Store(test.otherHeard)
 			resting.heard.Store(before)
 			pool.put(resting)
-			pool.suspect(own, moment{before, sent}, false)
+			pool.dropSilent(own, sendTimes{before, sent}, false)
 			assert.Equal(t, test.dropped, pool.Idle() == 0)
 		})
 	}
 }
 
-func TestUnacknowledgedBytesSpeakAgainstAllOfTheTime(t *testing.T) {
+func TestUnacknowledgedBytesDropIdleToAllAddresses(t *testing.T) {
 	const before, sent = 100, 200
 	tests := map[string]struct {
 		state     socket.State
@@ -119,16 +119,16 @@
 		idle      int
 		told      bool
 	}{
-		"nothing is heard anywhere":       {socket.State{Unacked: true}, false, before, 60, 1, true},
-		"another address is heard":        {socket.State{Unacked: true}, false, before, 300, 2, true},
-		"acknowledged, the answer is due": {socket.State{}, false, before, 60, 3, false},
-		"the answer has come meanwhile":   {socket.State{Unacked: true}, false, 201, 60, 3, false},
-		"no socket":                       {socket.State{Unacked: true}, true, before, 60, 3, false},
+		"nothing arrives at any address": {socket.State{Unacked: true}, false, before, 60, 1, true},
+		"another address is live":        {socket.State{Unacked: true}, false, before, 300, 2, true},
+		"acknowledged, response pending": {socket.State{}, false, before, 60, 3, false},
+		"the response has arrived":       {socket.State{Unacked: true}, false, 201, 60, 3, false},
+		"socket state unknown":           {socket.State{Unacked: true}, true, before, 60, 3, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			pool := New(Options{})
-			pool.look = func(net.Conn) (socket.State, bool) { return test.state, !test.unknown }
+			pool.socketState = func(net.Conn) (socket.State, bool) { return test.state, !test.unknown }
 			own, busy, resting, young, same := pipe(t, pool), pipeTo(t, pool, "b"), pipeTo(t, pool, "b"), pipeTo(t, pool, "b"), pipe(t, pool)
 			for _, c := range []*conn{own, busy, resting, same} {
 				c.opened = 10
@@ -141,14 +141,14 @@
 			pool.put(same)
 			pool.put(young)
 			told := false
-			pool.lookAfter(own, moment{before, sent}, &Request{Unacked: func() { told = true }})
+			pool.checkAcknowledged(own, sendTimes{before, sent}, &Request{Unacked: func() { told = true }})
 			assert.Equal(t, test.idle, pool.Idle())
 			assert.Equal(t, test.told, told)
 		})
 	}
 }
 
-func TestClosedConnectionsAreForgotten(t *testing.T) {
+func TestClosedConnectionsAreRemovedFromPool(t *testing.T) {
 	pool := New(Options{})
 	c := pipe(t, pool)
 	require.Len(t, pool.open, 1)
@@ -166,12 +166,12 @@
 	return p.newConn(near, address)
 }
 
-func TestWhatIsHeldBackIsNotWritten(t *testing.T) {
-	relay := relayed(t, 1)
+func TestFailedCheckLeavesRequestUnsent(t *testing.T) {
+	relay := newRelay(t, 1)
 	pool := New(Options{IDHeader: "Try", DialTimeout: time.Second, SilenceTimeout: time.Minute, IdleTime: time.Minute})
 	for range 2 {
 		_, err := pool.Do(context.Background(), relay.Address(), &Request{Method: http.MethodGet, URI: "/", Host: "h", ID: "a", Check: func() error {
-			assert.Zero(t, pool.Idle(), "asked once the connection is there")
+			assert.Zero(t, pool.Idle(), "Check is called once the connection is open")
 			return net.ErrClosed
 		}})
 		assert.ErrorIs(t, err, ErrNotSent)
@@ -181,19 +181,19 @@
 	assert.Equal(t, 1, relay.Opened(), "a connection that was not used is kept")
 }
 
-func TestConnectionsThatRestGiveWayWhenDescriptorsRunOut(t *testing.T) {
+func TestIdleConnectionsAreDroppedWhenDescriptorsRunOut(t *testing.T) {
 	out := &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	tests := map[string]struct {
 		resting int
 		tries   int
 		opened  bool
 	}{
-		"some rest": {2, 2, true},
-		"none rest": {0, 1, false},
+		"some idle": {2, 2, true},
+		"none idle": {0, 1, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			relay := relayed(t, 1)
+			relay := newRelay(t, 1)
 			pool := New(Options{IDHeader: "Try", DialTimeout: time.Second, SilenceTimeout: time.Minute, IdleTime: time.Minute})
 			for range test.resting {
 				pool.keepUnused(pipeTo(t, pool, "other"))
@@ -214,7 +214,7 @@
 				return
 			}
 			assert.ErrorIs(t, err, ErrNotSent)
-			assert.ErrorIs(t, err, syscall.EMFILE, "the caller can tell that it is this machine's fault")
+			assert.ErrorIs(t, err, syscall.EMFILE, "the caller can tell that the fault is local")
 		})
 	}
 }
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -9,8 +9,8 @@
 // tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which the syscall package lacks.
 const tcpUserTimeout = 18
 
-// controlSocket bounds how long sent bytes may stay unacknowledged, so that a
-// peer behind a cut is noticed.
+// controlSocket limits how long sent bytes may stay unacknowledged, so that a
+// peer behind a network partition is detected.
 func controlSocket(silence time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var result error
@@ -24,9 +24,9 @@
 	}
 }
 
-// quiet tells whether nothing came on a resting connection: neither its end nor
-// bytes that nobody asked for.
-func (c *conn) quiet() bool {
+// isQuiet reports whether nothing arrived on an idle connection: neither EOF nor
+// unsolicited bytes.
+func (c *conn) isQuiet() bool {
 	socket, known := c.Conn.(syscall.Conn)
 	if !known || c.reader.Buffered() > 0 {
 		return false
@@ -45,7 +45,7 @@
 	return err == nil && empty
 }
 
-// IsRefused tells whether an error says that nothing listens at the address.
+// IsRefused reports whether an error means that nothing listens at the address.
 func IsRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,14 +1,14 @@
-// Package upstream sends requests to replicas over HTTP/1.1 on connections of
-// its own and says what is known of each.
+// Package upstream sends requests to replicas over its own pool of HTTP/1.1
+// connections and reports whether each request can have reached a replica.
 //
-//	Pool.Do -> Answer          the head is that of this request: the id matches
+//	Pool.Do -> Answer          the response head carries this request's id
 //	        -> ErrNotSent      no byte can have reached a replica
 //	        -> ErrBroken       sent; whether it ran is not known
 //
-// The standard client is not used: it repeats requests by itself, and a late
-// second answer on a kept connection would be taken for the next request's.
-// Here the echoed id decides, an answer of another request is skipped, and a
-// connection that holds more than its answer is never used again.
+// The standard client is not used: it retries requests by itself, and it would
+// match a late second response on a kept connection to the next request. This
+// package matches responses by the echoed id, skips responses to other requests,
+// and never reuses a connection that holds more than its response.
 package upstream
 
 import (
@@ -31,60 +31,61 @@
 var (
 	// ErrNotSent: no byte of the request can have reached the replica.
 	ErrNotSent = errors.New("upstream: not sent")
-	// ErrBroken: sent, but no answer that is this request's.
+	// ErrBroken: sent, but no response to this request arrived.
 	ErrBroken = errors.New("upstream: no answer")
 )
 
-// Options of a pool.
+// Options configures a Pool.
 type Options struct {
-	// IDHeader names the header that a replica echoes.
+	// IDHeader names the header in which a replica echoes the request's id.
 	IDHeader string
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits how long opening a connection may take.
 	DialTimeout time.Duration
 	// SilenceTimeout is how long sent bytes may stay unacknowledged.
 	SilenceTimeout time.Duration
-	// IdleTime is how long a connection rests at most before it is closed.
+	// IdleTime is the longest time that a connection stays idle before it is closed.
 	IdleTime time.Duration
-	// Opened is called for each connection that was opened. It may be nil.
+	// Opened is called for each connection that the pool opens. It may be nil.
 	Opened func(address string)
-	// OnSilent is called when a kept connection to an address turned out to be silent,
-	// with how many that rested were dropped for it. It may be nil.
+	// OnSilent is called when a kept connection to an address proves silent, with the
+	// number of idle connections dropped as a result. It may be nil.
 	OnSilent func(address string, dropped int)
 }
 
-// Pool keeps connections to replicas. It is safe for concurrent use.
+// Pool keeps idle connections to replicas for reuse. It is safe for concurrent use.
 type Pool struct {
 	options Options
-	// opener opens a socket to an address.
+	// opener opens a TCP connection to an address.
 	opener func(ctx context.Context, address string) (net.Conn, error)
-	// look asks the system for the state of a connection.
-	look func(net.Conn) (s socket.State, known bool)
-	mu   sync.Mutex
-	idle map[string][]*conn
-	// open are the connections to each address that are open, idle or not.
+	// socketState asks the kernel for the TCP state of a connection.
+	socketState func(net.Conn) (s socket.State, known bool)
+	mu          sync.Mutex
+	idle        map[string][]*conn
+	// open holds all open connections to each address, idle or in use.
 	open map[string]map[*conn]struct{}
 }
 
 // New returns an empty pool.
 func New(o Options) *Pool {
-	return &Pool{options: o, opener: opener(o), look: socket.Look, idle: make(map[string][]*conn), open: make(map[string]map[*conn]struct{})}
+	return &Pool{options: o, opener: opener(o), socketState: socket.Look, idle: make(map[string][]*conn), open: make(map[string]map[*conn]struct{})}
 }
 
-// conn is one connection. Between requests it rests in the pool.
+// conn is one connection. Between requests it is idle in the pool.
 type conn struct {
 	net.Conn
 	pool    *Pool
 	reader  *bufio.Reader
 	address string
-	// opened and heard are when it was opened and when bytes last came on it, in
-	// nanoseconds of the pool's clock. An exchange's timer reads heard beside it.
+	// opened is when the connection was opened and heard when bytes last arrived on
+	// it, in nanoseconds of the pool's clock. heard is atomic because the timers of an
+	// exchange read it concurrently.
 	opened int64
 	heard  atomic.Int64
-	// expires is when the replica or the pool no longer keeps it.
+	// expires is when the replica or the pool stops keeping the connection.
 	expires time.Time
 }
 
-// Do sends a request and waits for the head of its answer. When ctx ends the
+// Do sends a request and waits for the head of its response. When ctx ends, the
 // connection is closed, which tells the replica to stop the work.
 func (p *Pool) Do(ctx context.Context, address string, r *Request) (*Answer, error) {
 	for {
@@ -96,7 +97,7 @@
 			p.keepUnused(c)
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		answer, written, err := p.watched(ctx, c, reused, r)
+		answer, written, err := p.exchangeMonitored(ctx, c, reused, r)
 		if err == nil {
 			return answer, nil
 		}
@@ -104,15 +105,15 @@
 		if written > 0 {
 			return nil, fmt.Errorf("%w: %v", ErrBroken, err)
 		}
-		// Nothing left this machine. A kept connection may just have been
-		// closed by the other side, so another one is tried.
+		// No byte left this machine. The replica may have just closed a kept
+		// connection, so Do tries another one.
 		if !reused || ctx.Err() != nil {
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 	}
 }
 
-// keepUnused keeps a connection on which nothing was sent.
+// keepUnused returns a connection that carried no request to the pool.
 func (p *Pool) keepUnused(c *conn) {
 	if c.expires.IsZero() {
 		c.expires = steady.Now().Add(p.options.IdleTime)
@@ -126,14 +127,14 @@
 		if c == nil {
 			break
 		}
-		if steady.Now().Before(c.expires) && c.quiet() {
+		if steady.Now().Before(c.expires) && c.isQuiet() {
 			return c, true, nil
 		}
 		c.Close()
 	}
 	c, err = p.dial(ctx, address)
 	if socket.IsExhausted(err) && p.DropIdle() > 0 {
-		// Those that rest give way.
+		// Closing idle connections freed descriptors, so dial again.
 		c, err = p.dial(ctx, address)
 	}
 	return c, false, err
@@ -146,7 +147,7 @@
 	if len(list) == 0 {
 		return nil
 	}
-	// The one used last is the least likely to have been closed.
+	// The most recently used connection is the least likely to have been closed.
 	c := list[len(list)-1]
 	p.idle[address] = list[:len(list)-1]
 	return c
@@ -182,8 +183,8 @@
 	}
 }
 
-// exchange writes the request and reads the head. written is the number of
-// bytes that were handed to the system.
+// exchange writes the request and reads the response head. It also returns the
+// number of bytes handed to the kernel.
 func (p *Pool) exchange(ctx context.Context, c *conn, r *Request) (*Answer, int, error) {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	wrote, written, err := c.send(r)
@@ -199,7 +200,7 @@
 	return &Answer{Response: response, pool: p, conn: c, stop: stop, wrote: wrote}, written, nil
 }
 
-// readHead reads heads until one is this request's.
+// readHead reads response heads until one carries this request's id.
 func (p *Pool) readHead(c *conn, r *Request) (*http.Response, error) {
 	const maxSkipped = 4
 	for range maxSkipped {
@@ -214,7 +215,7 @@
 			return response, nil
 		}
 		if !delimited(response) {
-			return nil, errors.New("answer of another request, without a length")
+			return nil, errors.New("response to another request without a delimited body")
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return nil, err
@@ -223,12 +224,12 @@
 	return nil, errors.New("answers of other requests only")
 }
 
-// delimited tells whether an answer's end can be found on its connection.
+// delimited reports whether the end of a response can be found on its connection.
 func delimited(r *http.Response) bool {
 	return r.ContentLength >= 0 || len(r.TransferEncoding) > 0
 }
 
-// CloseExpired closes the connections that rested too long.
+// CloseExpired closes the idle connections that have expired.
 func (p *Pool) CloseExpired() { closeAll(p.takeExpired(steady.Now())) }
 
 func (p *Pool) takeExpired(now time.Time) (expired []*conn) {
@@ -251,7 +252,7 @@
 	return expired
 }
 
-// DropIdle closes all connections that rest and returns how many there were.
+// DropIdle closes all idle connections and returns their number.
 func (p *Pool) DropIdle() int {
 	var idle []*conn
 	p.mu.Lock()
@@ -264,7 +265,7 @@
 	return len(idle)
 }
 
-// Idle returns how many connections rest.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What a check holds back has not reached the replica, and the connection that was
-// opened for it serves the next request.
-func TestACheckHoldsARequestBackAndKeepsItsConnection(t *testing.T) {
+// A request that Check refuses does not reach the replica, and the connection opened
+// for it serves the next request.
+func TestFailedCheckSendsNothingAndKeepsConnection(t *testing.T) {
 	var arrivals, opened atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		arrivals.Add(1)
@@ -33,7 +33,7 @@
 	request := &Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{"Try": {"1"}}, ID: "1"}
 
 	request.Check = func() error {
-		assert.Zero(t, pool.Idle(), "asked once the connection is there")
+		assert.Zero(t, pool.Idle(), "Check is called once the connection is open")
 		return errNo
 	}
 	_, err := pool.Do(t.Context(), address, request)
