--- a/pkg/fleet/example_test.go
+++ b/pkg/fleet/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/croftyard/croftyard/pkg/fleet"
 )
 
-// A view corrects the platform's lagging list by what was seen.
+// A view corrects the platform's lagging list by observations.
 func Example() {
 	now := time.Now()
 	view := fleet.NewView()
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -24,10 +24,10 @@
 	assert.Equal(t, Unknown, v.Health("e3", start))
 	v.MarkLeaving("e1", start)
 	assert.Equal(t, Departing, v.Health("e1", start), "seen leaving while the list still says live")
-	assert.Equal(t, Live, v.Health("e1", start.Add(leavingFor)), "the correction ages out")
+	assert.Equal(t, Live, v.Health("e1", start.Add(leavingFor)), "the correction expires")
 }
 
-func TestFlappingTargetIsSetAsideLongerEachTime(t *testing.T) {
+func TestFlappingTargetBackoff(t *testing.T) {
 	v := newTestView()
 	now := start
 	var aside []time.Duration
@@ -44,10 +44,10 @@
 	assert.Equal(t, maxSuspect, aside[7])
 	later := now.Add(forgiveAfter + time.Second)
 	v.MarkFailed("e1", later)
-	assert.Equal(t, Live, v.Health("e1", later.Add(time.Second)), "forgiven after a quiet time")
+	assert.Equal(t, Live, v.Health("e1", later.Add(time.Second)), "earlier failures are forgotten")
 }
 
-func TestReturningTargetIsRamped(t *testing.T) {
+func TestReturningTargetRampsUp(t *testing.T) {
 	v := newTestView()
 	assert.Equal(t, 1.0, v.RampFactor("e1", start))
 	v.MarkFailed("e1", start)
@@ -57,13 +57,13 @@
 	assert.Equal(t, 1.0, v.RampFactor("e1", start.Add(time.Minute)))
 }
 
-func TestCorrectionsOutliveTheList(t *testing.T) {
+func TestCorrectionsSurviveNewList(t *testing.T) {
 	v := newTestView()
 	v.MarkFailed("e1", start)
 	v.SetList([]Instance{{Name: "e1", State: StateLive}}, start.Add(100*time.Millisecond))
 	assert.Equal(t, Suspect, v.Health("e1", start.Add(200*time.Millisecond)))
 	v.SetList(nil, start.Add(time.Hour))
-	assert.Empty(t, v.notes)
+	assert.Empty(t, v.corrections)
 }
 
 func TestPartnersReachEveryone(t *testing.T) {
@@ -72,8 +72,8 @@
 		for i := range routers {
 			routers[i] = uint64(i)*0x9e3779b97f4a7c15 + 1
 		}
-		// knows[b] holds whose row b got, after one round of direct and one of
-		// relayed digests.
+		// knows[b] holds the routers whose digest reached b, after one round of direct and
+		// one of relayed digests.
 		direct := make(map[uint64]map[uint64]bool)
 		for _, r := range routers {
 			direct[r] = map[uint64]bool{r: true}
@@ -117,12 +117,12 @@
 	}
 }
 
-func TestBoard(t *testing.T) {
+func TestDigestTable(t *testing.T) {
 	b := NewDigestTable(9)
 	assert.Equal(t, -1.0, b.OthersDemand(5))
 	b.Put(digest(1, 2, 4, 10), start)
 	b.Put(digest(1, 1, 7, 70), start) // overtaken
-	b.Put(digest(9, 1, 7, 70), start) // its own, come back
+	b.Put(digest(9, 1, 7, 70), start) // own digest, returned
 	b.Put(digest(2, 1, 3, 20), start)
 	loads := []float64{-1, -1, -1}
 	b.AddGroupLoads(map[ID]int{1: 0, 2: 1, 3: 2}, loads)
@@ -130,10 +130,10 @@
 	assert.Equal(t, 30.0, b.OthersDemand(5))
 	b.DropStale(start.Add(StaleAfter + time.Second))
 	assert.Zero(t, b.Len())
-	assert.Equal(t, -1.0, b.OthersDemand(5), "an hour old digest counts no more")
+	assert.Equal(t, -1.0, b.OthersDemand(5), "a stale digest is dropped")
 }
 
-func TestTwoOwnersOfAGroupAddUp(t *testing.T) {
+func TestLoadsOfTwoOwnersAdded(t *testing.T) {
 	b := NewDigestTable(9)
 	first, second := digest(1, 1, 4, 0), digest(2, 1, 3, 0)
 	second.Loads[0].Group = 1
@@ -144,13 +144,13 @@
 	assert.Equal(t, []float64{7}, loads)
 }
 
-func TestRelaySumsTheLine(t *testing.T) {
+func TestAggregateSumsRow(t *testing.T) {
 	b := NewDigestTable(9)
 	leaving := digest(1, 1, 4, 10)
 	leaving.Leaving = []ID{66}
 	b.Put(leaving, start)
 	b.Put(digest(2, 1, 3, 20), start)
-	b.Put(digest(3, 1, 3, 40), start) // not of the line
+	b.Put(digest(3, 1, 3, 40), start) // not in the row
 	relay := b.Aggregate(digest(9, 1, 1, 5), []ID{1, 2})
 	assert.True(t, relay.Relayed)
 	assert.Equal(t, []GroupLoad{{1, 4}, {2, 3}, {9, 1}}, relay.Loads)
@@ -158,7 +158,7 @@
 	assert.Equal(t, []ID{66}, relay.Leaving)
 }
 
-func TestRestartedRouterIsHeardAgain(t *testing.T) {
+func TestRestartedSenderAccepted(t *testing.T) {
 	b := NewDigestTable(9)
 	b.Put(digest(1, 1000, 4, 0), start)
 	b.Put(digest(1, 1, 5, 0), start.Add(StaleAfter+time.Second))
@@ -177,9 +177,9 @@
 	assert.False(t, b.Stopping(1))
 }
 
-// Guards against work for an instance in a rest that it asked for, and against its whole
-// share at the end of it.
-func TestAnInstanceThatAskedForRest(t *testing.T) {
+// Guards against work for an instance during a rest that it asked for, and against its full
+// share right after it.
+func TestRestingInstance(t *testing.T) {
 	v := newTestView()
 	v.MarkResting("e1", start.Add(5*time.Second))
 	v.MarkResting("e1", start.Add(time.Second))
--- a/pkg/fleet/view.go
+++ b/pkg/fleet/view.go
@@ -5,47 +5,46 @@
 	"time"
 )
 
-// Times of the view's corrections.
+// Durations of the corrections.
 const (
-	// minSuspect is how long a target that failed once is set aside.
+	// minSuspect is how long a target is suspect after one failure.
 	minSuspect = time.Second
-	// maxSuspect bounds the doubling for a target that fails again and again.
+	// maxSuspect bounds the exponential backoff for a target that fails repeatedly.
 	maxSuspect = time.Minute
-	// forgiveAfter is the quiet time after which earlier failures are forgotten.
+	// forgiveAfter is the time without failures after which earlier ones are forgotten.
 	forgiveAfter = 2 * time.Minute
-	// leavingFor is how long a word of leaving holds against a list that still
-	// says live. The list lags by seconds; a target that came back is used again.
+	// leavingFor is how long an announced departure overrides a list that still says live.
+	// The list lags by seconds; after that a target that came back is used again.
 	leavingFor = time.Minute
-	// rampTime is how long a target that came back takes to get its full share.
+	// rampTime is how long a target takes to regain its full share.
 	rampTime = 10 * time.Second
 )
 
-// View is one router's live view of the targets and peers. It is not safe for
-// concurrent use.
+// View is one router's view of the targets and peers. It is not safe for concurrent use.
 type View struct {
-	listed map[string]Instance
-	notes  map[string]*note
+	listed      map[string]Instance
+	corrections map[string]*correction
 }
 
-// note is the correction of one instance by own observation.
+// correction is what was observed of one instance, and overrides the list.
 //
-//	failures 1, 2, 3 ... -> set aside for 1 s, 2 s, 4 s ... up to a minute
-type note struct {
+//	failures 1, 2, 3 ... -> suspect for 1 s, 2 s, 4 s ... up to a minute
+type correction struct {
 	failures     int
 	lastFailure  time.Time
 	suspectUntil time.Time
 	leavingUntil time.Time
-	// restUntil is the latest end of a rest that it asked for.
+	// restUntil is the latest end of the rests that the instance asked for.
 	restUntil time.Time
 }
 
 // NewView returns an empty view.
 func NewView() *View {
-	return &View{listed: make(map[string]Instance), notes: make(map[string]*note)}
+	return &View{listed: make(map[string]Instance), corrections: make(map[string]*correction)}
 }
 
-// SetList takes a new list of the platform. Corrections stay until they age
-// out, since the list lags what was seen.
+// SetList replaces the platform's list. Corrections stay until they expire, since the list
+// lags behind observations.
 func (v *View) SetList(list []Instance, now time.Time) {
 	clear(v.listed)
 	for _, i := range list {
@@ -54,24 +53,24 @@
 	v.DropExpired(now)
 }
 
-// DropExpired drops corrections that no longer say anything.
+// DropExpired removes corrections that have no effect any more.
 func (v *View) DropExpired(now time.Time) {
-	for name, n := range v.notes {
+	for name, n := range v.corrections {
 		_, listed := v.listed[name]
-		if n.aged(now) && (!listed || n.failures == 0) {
-			delete(v.notes, name)
+		if n.expired(now) && (!listed || n.failures == 0) {
+			delete(v.corrections, name)
 		}
 	}
 }
 
-func (n *note) aged(now time.Time) bool {
+func (n *correction) expired(now time.Time) bool {
 	return now.After(n.suspectUntil) && now.After(n.leavingUntil) && now.After(n.restUntil.Add(rampTime)) && now.Sub(n.lastFailure) > forgiveAfter
 }
 
-// MarkFailed notes that an instance could not be reached. It is set aside for
-// twice as long each time, so that one that flaps gets little.
+// MarkFailed records that an instance could not be reached. Each failure doubles the time for
+// which it is suspect, so that a flapping instance gets little work.
 func (v *View) MarkFailed(name string, now time.Time) {
-	n := v.note(name)
+	n := v.correction(name)
 	if now.Sub(n.lastFailure) > forgiveAfter {
 		n.failures = 0
 	}
@@ -88,50 +87,50 @@
 	return time.Duration(min(d, float64(maxSuspect)))
 }
 
-// MarkReachable notes that an instance answered, which ends its setting aside. The
-// count of failures stays, so that the next one weighs more.
+// MarkReachable records that an instance answered, so that it is no longer suspect. The number
+// of failures stays, so that the next one has more weight.
 func (v *View) MarkReachable(name string, now time.Time) {
-	if n := v.notes[name]; n != nil && now.Before(n.suspectUntil) {
+	if n := v.corrections[name]; n != nil && now.Before(n.suspectUntil) {
 		n.suspectUntil = now
 	}
 }
 
-// MarkLeaving notes that an instance said, or a peer heard, that it leaves.
+// MarkLeaving records that an instance is leaving, as it or a peer reported.
 func (v *View) MarkLeaving(name string, now time.Time) {
-	v.note(name).leavingUntil = now.Add(leavingFor)
+	v.correction(name).leavingUntil = now.Add(leavingFor)
 }
 
-// MarkResting notes that an instance asked for no requests until a time. Of several the latest
-// holds.
+// MarkResting records that an instance asked for no requests until a time. Of several times
+// the latest holds.
 func (v *View) MarkResting(name string, until time.Time) {
-	if n := v.note(name); until.After(n.restUntil) {
+	if n := v.correction(name); until.After(n.restUntil) {
 		n.restUntil = until
 	}
 }
 
-func (v *View) note(name string) *note {
-	n := v.notes[name]
+func (v *View) correction(name string) *correction {
+	n := v.corrections[name]
 	if n == nil {
-		n = &note{}
-		v.notes[name] = n
+		n = &correction{}
+		v.corrections[name] = n
 	}
 	return n
 }
 
-// Health is what the view believes of one instance.
+// Health is the state of an instance according to the view.
 type Health uint8
 
-// The healths.
+// The values of Health.
 const (
-	// Unknown: not in the list.
+	// Unknown: the list does not name the instance.
 	Unknown Health = iota
-	// Live: may get new work.
+	// Live: the instance may get new work.
 	Live
-	// Suspect: does not answer; tried again later.
+	// Suspect: the instance does not answer; it is tried again later.
 	Suspect
-	// Departing: leaving; must get no new work.
+	// Departing: the instance is leaving and must get no new work.
 	Departing
-	// Resting: asked for no requests for a time.
+	// Resting: the instance asked for no requests for a time.
 	Resting
 )
 
@@ -140,13 +139,13 @@
 // String returns the name used in the state dump.
 func (h Health) String() string { return healthNames[h] }
 
-// Health returns what is believed of an instance.
+// Health returns the health of an instance.
 func (v *View) Health(name string, now time.Time) Health {
 	i, listed := v.listed[name]
 	if !listed {
 		return Unknown
 	}
-	n := v.notes[name]
+	n := v.corrections[name]
 	switch {
 	case i.State == StateLeaving:
 		return Departing
@@ -162,11 +161,11 @@
 	return Live
 }
 
-// RampFactor returns the part of its full share that an instance should get, above
-// 0 to 1: one that came back after failures or a rest is loaded gradually.
+// RampFactor returns the fraction of its full share that an instance should get, above 0 and
+// up to 1: after failures or a rest its load rises gradually.
 func (v *View) RampFactor(name string, now time.Time) float64 {
 	const least = 0.1
-	n := v.notes[name]
+	n := v.corrections[name]
 	if n == nil || n.failures == 0 && n.restUntil.IsZero() {
 		return 1
 	}
@@ -181,14 +180,14 @@
 	return min(1, max(least, back.Seconds()/rampTime.Seconds()))
 }
 
-// ForEach calls visit for each listed instance with its health.
+// ForEach calls visit with each listed instance and its health.
 func (v *View) ForEach(now time.Time, visit func(Instance, Health)) {
 	for name, i := range v.listed {
 		visit(i, v.Health(name, now))
 	}
 }
 
-// Get returns the list's row of an instance.
+// Get returns an instance's row of the list.
 func (v *View) Get(name string) (Instance, bool) {
 	i, listed := v.listed[name]
 	return i, listed
