--- a/internal/front/caller_left_test.go
+++ b/internal/front/caller_left_test.go
@@ -156,11 +156,11 @@
 		before  func(net.Conn)
 	}{
 		"before the head":                    {"/repeat/x", waiting, func(net.Conn) {}},
-		"before the head of a request once":  {"/once/x", waiting, func(net.Conn) {}},
-		"in a stream that rests":             {"/stream/x", silentStream, readSome},
-		"in a resumable stream that rests":   {"/resumable/x", silentStream, readSome},
-		"in a stream that it does not read":  {"/stream/x", endless, readSome},
-		"in a resumable one it doesn't read": {"/resumable/x", endless, readSome},
+		"before the head, runs once":  {"/once/x", waiting, func(net.Conn) {}},
+		"in a silent stream":             {"/stream/x", silentStream, readSome},
+		"in a silent resumable stream":   {"/resumable/x", silentStream, readSome},
+		"in an unread stream":  {"/stream/x", endless, readSome},
+		"in an unread resumable stream": {"/resumable/x", endless, readSome},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -180,7 +180,7 @@
 			caller.Close()
 			<-ended
 			waitUntil(func() bool { return r.front.ActiveRequests() == 0 })
-			assert.EqualValues(t, 1, arrivals.Load(), "nothing is sent for it any more")
+			assert.EqualValues(t, 1, arrivals.Load(), "no further attempt is sent")
 		})
 	}
 }
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -41,13 +41,13 @@
 		handler func(l net.Listener, w http.ResponseWriter)
 		ended   bool
 	}{
-		"no answer, it serves on": {handler: func(net.Listener, http.ResponseWriter) {}},
-		"half an answer, it serves on": {handler: func(_ net.Listener, w http.ResponseWriter) {
+		"no answer, still serving": {handler: func(net.Listener, http.ResponseWriter) {}},
+		"half an answer, still serving": {handler: func(_ net.Listener, w http.ResponseWriter) {
 			_, _ = w.Write([]byte("half"))
 			_ = http.NewResponseController(w).Flush()
 		}},
-		"no answer, it ended": {handler: func(l net.Listener, _ http.ResponseWriter) { l.Close() }, ended: true},
-		"half an answer, it ended": {handler: func(l net.Listener, w http.ResponseWriter) {
+		"no answer, process ended": {handler: func(l net.Listener, _ http.ResponseWriter) { l.Close() }, ended: true},
+		"half an answer, process ended": {handler: func(l net.Listener, w http.ResponseWriter) {
 			_, _ = w.Write([]byte("half"))
 			_ = http.NewResponseController(w).Flush()
 			l.Close()
@@ -122,7 +122,7 @@
 	answer, _, err := r.send(t, http.MethodPost, "/repeat/x", "deadly")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusBadGateway, answer.StatusCode)
-	assert.EqualValues(t, 1, r.log.Count(event.ReplicaEnded), "it was not repeated after the second crash")
+	assert.EqualValues(t, 1, r.log.Count(event.ReplicaEnded), "no retry after the second crash")
 	answer, _, err = r.send(t, http.MethodPost, "/repeat/x", "deadly")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusBadGateway, answer.StatusCode)
@@ -198,10 +198,10 @@
 		"it started again":                  {upstream.Listening, time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 1},
 		"another one started again":         {upstream.Listening, time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("b", now) }, 0},
 		"it started again much later":       {upstream.Listening, time.Minute, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 0},
-		"its entry went":                    {upstream.Rejecting, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 1},
-		"its entry lapsed behind a cut":     {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 0},
-		"it started again behind a cut":     {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 1},
-		"it lived, and left a little later": {upstream.Listening, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 0},
+		"its entry was removed":                    {upstream.Rejecting, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 1},
+		"its entry expired in a partition":     {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 0},
+		"it started again in a partition":     {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 1},
+		"it still ran, and left later": {upstream.Listening, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/failover_test.go
+++ b/internal/front/failover_test.go
@@ -58,9 +58,9 @@
 	failover()
 	assert.Equal(t, errSilent, context.Cause(ctx))
 	one.sent.Store(1)
-	assert.False(t, r.front.spendRetry("another"), "it is taken")
+	assert.False(t, r.front.spendRetry("another"), "the reserved retry is unavailable to others")
 	assert.Equal(t, attemptRetry, one.retry("stream fell silent"))
-	assert.Equal(t, attemptGiveUp, one.retry("once more"), "it was one")
+	assert.Equal(t, attemptGiveUp, one.retry("second retry"), "only one retry was reserved")
 }
 
 func TestOnlyReplicaFaultsReported(t *testing.T) {
@@ -68,11 +68,11 @@
 		err    error
 		blamed bool
 	}{
-		"it can't be reached":             {syscall.EHOSTUNREACH, true},
-		"it refuses":                      {syscall.ECONNREFUSED, true},
-		"this router has no descriptor":   {syscall.EMFILE, false},
-		"this machine has no descriptor":  {syscall.ENFILE, false},
-		"nobody waits for the answer now": {errCallerGone, false},
+		"replica unreachable":             {syscall.EHOSTUNREACH, true},
+		"replica refuses the connection":                      {syscall.ECONNREFUSED, true},
+		"router out of file descriptors":   {syscall.EMFILE, false},
+		"machine out of file descriptors":  {syscall.ENFILE, false},
+		"caller left": {errCallerGone, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -64,7 +64,7 @@
 			r := newRig(t, first, second)
 			response, _, err := r.send(t, "POST", "/once/", "deposit")
 			require.NoError(t, err)
-			assert.Equal(t, http.StatusBadGateway, response.StatusCode, "no promise is made")
+			assert.Equal(t, http.StatusBadGateway, response.StatusCode, "not refused as not run")
 			assert.Empty(t, response.Header.Get("Sign"))
 			assert.Equal(t, 1, len(seen)+len(seenToo))
 		})
@@ -127,15 +127,15 @@
 	address, arrivals := replica(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 	r := newRig(t, address)
 	waits := &call{front: r.front, service: &route.Service{Name: "s"}, route: &route.Route{Target: time.Hour}, arrival: time.Now()}
-	assert.False(t, waits.evacuated(), "one may come")
+	assert.False(t, waits.evacuated(), "a replica may become available")
 	snapshot := changedSnapshot(r, func(*route.Config) {})
 	snapshot.Evacuated = []string{"here"}
 	r.watcher.ApplySnapshot(snapshot, time.Now())
 	assert.True(t, waits.evacuated())
-	assert.False(t, waits.waitForReplica(t.Context()), "none will")
+	assert.False(t, waits.waitForReplica(t.Context()), "none will become available")
 	response, body, err := r.send(t, "POST", "/repeat/x", "")
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "the promise that it has not run")
+	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "refused as not run")
 	assert.Contains(t, body, "evacuated")
 	assert.NotEmpty(t, response.Header.Get("Retry-After"))
 	assert.Zero(t, arrivals.Load())
@@ -160,7 +160,7 @@
 		r.watcher.ApplySnapshot(snapshot, time.Now())
 		response, _, err := r.send(t, "POST", "/repeat/x", "")
 		require.NoError(t, err)
-		assert.Equal(t, cold, response.StatusCode == http.StatusServiceUnavailable, "no router is known to share with")
+		assert.Equal(t, cold, response.StatusCode == http.StatusServiceUnavailable, "no other router is known")
 		assert.Equal(t, !cold, arrivals.Load() == 1)
 	}
 }
--- a/internal/front/statements_test.go
+++ b/internal/front/statements_test.go
@@ -78,7 +78,7 @@
 	t.Helper()
 	const most = 1000
 	for n := 0; has.arrivals.Load() == 0; n++ {
-		require.Less(t, n, most, "it gets no request")
+		require.Less(t, n, most, "the replica gets no request")
 		r.sendMany(t, 1)
 	}
 	has.arrivals.Store(0)
@@ -237,7 +237,7 @@
 		assert.Less(t, after, 40.0)
 		told[response.Header.Get("Retry-After")] = true
 	}
-	assert.Greater(t, len(told), manyRequests/2, "they are spread")
+	assert.Greater(t, len(told), manyRequests/2, "the times are spread")
 	assert.Zero(t, first.arrivals.Load()+second.arrivals.Load())
 }
 
--- a/internal/front/stop_test.go
+++ b/internal/front/stop_test.go
@@ -41,7 +41,7 @@
 			assert.Equal(t, test.status, response.StatusCode)
 			assert.True(t, response.Close)
 			if test.status != http.StatusOK {
-				assert.Zero(t, arrivals.Load(), "not run, as it says")
+				assert.Zero(t, arrivals.Load(), "not run, as the refusal says")
 				assert.NotEmpty(t, response.Header.Get("Retry-After"))
 			}
 		})
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -14,7 +14,7 @@
 // errPartial means that a stream ended within an event.
 var errPartial = errors.New("front: stream ended within an event")
 
-// maxEvent is the buffer limit for one event of a stream, in bytes.
+// maxEvent is the maximum size of one event of a stream, in bytes.
 const maxEvent = 1 << 20
 
 // forwardEvents forwards complete events only, so that a stream that breaks off within an
--- a/internal/front/wait.go
+++ b/internal/front/wait.go
@@ -36,11 +36,11 @@
 
 // boundedWait returns the target divided by divisor, or defaultWait without a target, but at
 // most limit.
-func (c *call) boundedWait(part, most time.Duration) time.Duration {
+func (c *call) boundedWait(divisor, limit time.Duration) time.Duration {
 	if c.route == nil || c.route.Target == 0 {
-		return min(defaultWait, most)
+		return min(defaultWait, limit)
 	}
-	return min(c.route.Target/part, most)
+	return min(c.route.Target/divisor, limit)
 }
 
 // waitForReplica waits for a replica that is expected to be available soon, and reports
--- a/internal/front/wait_test.go
+++ b/internal/front/wait_test.go
@@ -60,11 +60,11 @@
 		{"avoided for a moment, but the target is short", 150 * time.Millisecond, avoided(40 * time.Millisecond), false, 0},
 		{"avoided for a moment, no target", 0, avoided(40 * time.Millisecond), true, 40 * time.Millisecond},
 		{"not reached, though not avoided", 600 * time.Millisecond, func(f *Front, _ *call) { listReplicas(f, "r0") }, false, 0},
-		{"sent already", 600 * time.Millisecond, func(f *Front, c *call) {
+		{"already sent", 600 * time.Millisecond, func(f *Front, c *call) {
 			avoided(40*time.Millisecond)(f, c)
 			c.sent.Add(1)
 		}, false, 0},
-		{"has waited its time", 600 * time.Millisecond, func(f *Front, c *call) {
+		{"has already waited", 600 * time.Millisecond, func(f *Front, c *call) {
 			avoided(40*time.Millisecond)(f, c)
 			c.arrival = time.Now().Add(-75 * time.Millisecond)
 		}, false, 0},
@@ -150,7 +150,7 @@
 	}{
 		{"another replica may have it", fail(balance.Shed, "r0"), retryElsewhere},
 		{"all are full", fail(balance.Shed, "r0", "r1"), 150 * time.Millisecond},
-		{"none is there", fail(balance.Refused, "r0", "r1"), retryLater},
+		{"none is reachable", fail(balance.Refused, "r0", "r1"), retryLater},
 		{"none is listed, the list is read soon", func(f *Front) {
 			listReplicas(f)
 			time.Sleep(650 * time.Millisecond)
--- a/pkg/fleet/digest.go
+++ b/pkg/fleet/digest.go
@@ -157,7 +157,7 @@
 
 // Aggregate returns the digest that a router sends to its column: the sum of its own and those
 // received directly from its row.
-func (b *DigestTable) Aggregate(own Digest, line []ID) Digest {
+func (b *DigestTable) Aggregate(own Digest, row []ID) Digest {
 	d := own
 	d.Relayed = true
 	d.Engines = nil
@@ -173,7 +173,7 @@
 		}
 	}
 	add(own)
-	for _, router := range line {
+	for _, router := range row {
 		direct := b.digests[source{router, false}]
 		add(direct.Digest)
 		leaving = append(leaving, direct.Leaving...)
--- a/pkg/fleet/partners.go
+++ b/pkg/fleet/partners.go
@@ -45,17 +45,17 @@
 }
 
 func gridPartners(sorted []uint64, at int) Partners {
-	lines := int(math.Round(math.Sqrt(float64(len(sorted)))))
-	line, column := at%lines, at/lines
-	lastColumn := (len(sorted) - 1) / lines
+	rows := int(math.Round(math.Sqrt(float64(len(sorted)))))
+	row, column := at%rows, at/rows
+	lastColumn := (len(sorted) - 1) / rows
 	// The last router of a row that lacks the last column stands in for that column.
-	standsIn := column == lastColumn-1 && at+lines >= len(sorted)
+	standsIn := column == lastColumn-1 && at+rows >= len(sorted)
 	var p Partners
 	for i, router := range sorted {
-		otherLine, otherColumn := i%lines, i/lines
+		otherRow, otherColumn := i%rows, i/rows
 		switch {
 		case i == at:
-		case otherLine == line:
+		case otherRow == row:
 			p.Direct = append(p.Direct, router)
 		case otherColumn == column, standsIn && otherColumn == lastColumn:
 			p.Relayed = append(p.Relayed, router)
