--- a/internal/front/caller_left_test.go
+++ b/internal/front/caller_left_test.go
@@ -155,11 +155,11 @@
 		replica http.HandlerFunc
 		before  func(net.Conn)
 	}{
-		"before the head":                    {"/repeat/x", waiting, func(net.Conn) {}},
-		"before the head, runs once":  {"/once/x", waiting, func(net.Conn) {}},
-		"in a silent stream":             {"/stream/x", silentStream, readSome},
-		"in a silent resumable stream":   {"/resumable/x", silentStream, readSome},
-		"in an unread stream":  {"/stream/x", endless, readSome},
+		"before the head":               {"/repeat/x", waiting, func(net.Conn) {}},
+		"before the head, runs once":    {"/once/x", waiting, func(net.Conn) {}},
+		"in a silent stream":            {"/stream/x", silentStream, readSome},
+		"in a silent resumable stream":  {"/resumable/x", silentStream, readSome},
+		"in an unread stream":           {"/stream/x", endless, readSome},
 		"in an unread resumable stream": {"/resumable/x", endless, readSome},
 	}
 	for name, test := range tests {
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -195,13 +195,13 @@
 		tell  func(f *Front, now time.Time)
 		marks int
 	}{
-		"it started again":                  {upstream.Listening, time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 1},
-		"another one started again":         {upstream.Listening, time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("b", now) }, 0},
-		"it started again much later":       {upstream.Listening, time.Minute, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 0},
-		"its entry was removed":                    {upstream.Rejecting, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 1},
-		"its entry expired in a partition":     {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 0},
-		"it started again in a partition":     {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 1},
-		"it still ran, and left later": {upstream.Listening, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 0},
+		"it started again":                 {upstream.Listening, time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 1},
+		"another one started again":        {upstream.Listening, time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("b", now) }, 0},
+		"it started again much later":      {upstream.Listening, time.Minute, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 0},
+		"its entry was removed":            {upstream.Rejecting, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 1},
+		"its entry expired in a partition": {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 0},
+		"it started again in a partition":  {upstream.Unreachable, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRestarted("a", now) }, 1},
+		"it still ran, and left later":     {upstream.Listening, 4 * time.Second, func(f *Front, now time.Time) { f.ReplicaRemoved("a", now) }, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/failover_test.go
+++ b/internal/front/failover_test.go
@@ -69,10 +69,10 @@
 		blamed bool
 	}{
 		"replica unreachable":             {syscall.EHOSTUNREACH, true},
-		"replica refuses the connection":                      {syscall.ECONNREFUSED, true},
-		"router out of file descriptors":   {syscall.EMFILE, false},
-		"machine out of file descriptors":  {syscall.ENFILE, false},
-		"caller left": {errCallerGone, false},
+		"replica refuses the connection":  {syscall.ECONNREFUSED, true},
+		"router out of file descriptors":  {syscall.EMFILE, false},
+		"machine out of file descriptors": {syscall.ENFILE, false},
+		"caller left":                     {errCallerGone, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
