--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -48,7 +48,7 @@
 		return admission.RefusePossiblyRun(admission.AlreadyRan, "a request with this key has already run")
 	case errors.Is(err, once.ErrHeld):
 		return later(admission.RefusePossiblyRun(admission.ClaimHeld, "another request with this key is under way or its outcome is not known"))
-	case errors.Is(err, once.ErrUnsettled):
+	case errors.Is(err, once.ErrOutcomeUnknown):
 		r.log.Write(event.ClaimUnsettled, event.F("request", job.ID), event.F("error", err))
 		return later(admission.RefusePossiblyRun(admission.ClaimUnknown, "the claim's outcome is not known; this attempt did not run"))
 	}
--- a/pkg/once/once.go
+++ b/pkg/once/once.go
@@ -37,8 +37,8 @@
 	ErrDone = errors.New("once: already ran")
 	// ErrUnavailable: the claim was not taken and the service could not be asked.
 	ErrUnavailable = errors.New("once: service unavailable")
-	// ErrUnsettled: it is not known whether the claim was taken. Nothing runs.
-	ErrUnsettled = errors.New("once: claim not settled")
+	// ErrOutcomeUnknown: it is not known whether the claim was taken. Nothing runs.
+	ErrOutcomeUnknown = errors.New("once: claim not settled")
 	// ErrExpired: the deadline passed before the request could be sent.
 	ErrExpired = errors.New("once: deadline passed")
 )
@@ -152,7 +152,7 @@
 	case errors.Is(err, ErrDone), errors.Is(err, ErrHeld):
 		return err
 	case unsettled:
-		return fmt.Errorf("%w: %v", ErrUnsettled, err)
+		return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 	}
 	return fmt.Errorf("%w: %v", ErrUnavailable, err)
 }
@@ -205,7 +205,7 @@
 			break
 		}
 	}
-	return fmt.Errorf("%w: %v", ErrUnsettled, err)
+	return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 }
 
 // retentionLease returns the lease that bounds how long records are kept. One
--- a/pkg/once/once_test.go
+++ b/pkg/once/once_test.go
@@ -81,7 +81,7 @@
 		want   error
 	}{
 		{"the claim took effect", func(s *faulty.Store) { s.Lost = 1 }, nil},
-		{"the claim never arrived", func(s *faulty.Store) { s.Dropped = 1 }, ErrUnsettled},
+		{"the claim never arrived", func(s *faulty.Store) { s.Dropped = 1 }, ErrOutcomeUnknown},
 		{"the service is down", func(s *faulty.Store) { s.Down = 1 }, ErrUnavailable},
 	} {
 		store := faulty.New(kv.NewMemory(c.read), 1)
@@ -96,7 +96,7 @@
 	store := faulty.New(kv.NewMemory(c.read), 1)
 	store.Delayed = 1
 	_, err := c.claims(store).Take(ctx, "k", "a1", c.deadline())
-	require.ErrorIs(t, err, ErrUnsettled)
+	require.ErrorIs(t, err, ErrOutcomeUnknown)
 	store.Delayed = 0
 	store.Deliver()
 	_, err = c.claims(store).Take(ctx, "k", "a2", c.deadline())
