--- a/internal/router/local.go
+++ b/internal/router/local.go
@@ -201,7 +201,7 @@
 	if err != nil {
 		return dispatch.Outcome{}, r.claimRefusal(job, err)
 	}
-	if err := claim.MaySend(); err != nil {
+	if err := claim.CheckDeadline(); err != nil {
 		r.release(claim, job)
 		return dispatch.Outcome{}, admission.Refuse(admission.DeadlineMiss, time.Second, "the deadline passed while the key was claimed")
 	}
--- a/pkg/once/example_test.go
+++ b/pkg/once/example_test.go
@@ -16,7 +16,7 @@
 	claims := once.NewClaims(kv.NewMemory(time.Now), time.Now)
 	deadline := time.Now().Add(time.Minute)
 	claim, err := claims.Take(ctx, "deposit-7", "attempt-1", deadline)
-	if err == nil && claim.MaySend() == nil {
+	if err == nil && claim.CheckDeadline() == nil {
 		fmt.Println("recorded")
 		err = claim.Done(ctx)
 	}
--- a/pkg/once/once.go
+++ b/pkg/once/once.go
@@ -168,8 +168,8 @@
 	return fmt.Errorf("%w: %v", ErrUnavailable, err)
 }
 
-// MaySend must be asked just before the first byte is sent.
-func (c *Claim) MaySend() error {
+// CheckDeadline must be asked just before the first byte is sent.
+func (c *Claim) CheckDeadline() error {
 	if !c.claims.now().Before(c.deadline) {
 		return ErrExpired
 	}
--- a/pkg/once/once_test.go
+++ b/pkg/once/once_test.go
@@ -54,9 +54,9 @@
 	claims := c.claims(kv.NewMemory(c.read))
 	claim, err := claims.Take(ctx, "k", "a1", c.deadline())
 	require.NoError(t, err)
-	require.NoError(t, claim.MaySend())
+	require.NoError(t, claim.CheckDeadline())
 	c.now = c.now.Add(Retention + time.Hour)
-	assert.ErrorIs(t, claim.MaySend(), ErrExpired)
+	assert.ErrorIs(t, claim.CheckDeadline(), ErrExpired)
 }
 
 func TestRecordIsKeptForTheRetention(t *testing.T) {
@@ -136,7 +136,7 @@
 			},
 			"send": func(t *rapid.T) {
 				name := pick(t)
-				if open[name].MaySend() == nil {
+				if open[name].CheckDeadline() == nil {
 					runs++
 				}
 				if rapid.Bool().Draw(t, "answered") {
