--- a/pkg/once/example_test.go
+++ b/pkg/once/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/croftyard/croftyard/pkg/once"
 )
 
-// A key is claimed, its request sent, and the claim ended.
+// Claims a key, sends its request and completes the claim.
 func Example() {
 	ctx := context.Background()
 	claims := once.NewClaims(kv.NewMemory(time.Now), time.Now)
--- a/pkg/once/once.go
+++ b/pkg/once/once.go
@@ -1,21 +1,21 @@
-// Package once runs a request that must not be repeated at most once.
+// Package once executes non-idempotent requests at most once per key.
 //
-// One record in the key-value service decides for each key. Every step is one
+// Each key has one record in the key-value store. Every state transition is one
 // compare-and-swap on the record's revision:
 //
 //	absent ──> claimed(attempt) ──> done(attempt)
 //	   ^            │
 //	   └ released <─┘   only while no byte can have reached a target
 //
-// Whoever reads claimed with its own attempt holds the claim and may send the
-// request once, before its own deadline. After an ambiguous failure the record
-// stays claimed: nobody sends again, and callers are told that the outcome is
-// not known. A record outlives the longest deadline by far, so a holder that
-// was paused finds its own deadline passed long before its record is gone.
+// An attempt that reads a claimed record with its own id holds the claim and may
+// send the request once, before its deadline. After an ambiguous failure the
+// record stays claimed: no attempt sends the request again, and callers are told
+// that the outcome is unknown. A record is kept far longer than the longest
+// deadline, so the deadline of a paused holder passes long before its record expires.
 //
-// The alternative, a lock with a short lease, was ruled out: a holder that is
-// paused past its lease between looking at the clock and sending would run a
-// request that another has run. spec/claims.pml checks both.
+// A lock with a short lease is not safe here: a holder paused past its lease
+// between reading the clock and sending would run a request that another attempt
+// has already run. spec/claims.pml checks both designs.
 package once
 
 import (
@@ -31,39 +31,40 @@
 
 // Errors of this package.
 var (
-	// ErrHeld: another attempt holds the key; it may have run or may yet run.
+	// ErrHeld: another attempt holds the key; it may have run or may still run.
 	ErrHeld = errors.New("once: held by another attempt")
-	// ErrDone: another attempt ran to its end.
+	// ErrDone: another attempt ran to completion.
 	ErrDone = errors.New("once: already ran")
-	// ErrUnavailable: the claim was not taken and the service could not be asked.
-	ErrUnavailable = errors.New("once: service unavailable")
-	// ErrOutcomeUnknown: it is not known whether the claim was taken. Nothing runs.
-	ErrOutcomeUnknown = errors.New("once: claim not settled")
+	// ErrUnavailable: the claim was not taken and the store could not be reached.
+	ErrUnavailable = errors.New("once: store unavailable")
+	// ErrOutcomeUnknown: it is unknown whether the write took effect. If Take
+	// returns it, nothing may run.
+	ErrOutcomeUnknown = errors.New("once: claim outcome unknown")
 	// ErrExpired: the deadline passed before the request could be sent.
 	ErrExpired = errors.New("once: deadline passed")
 )
 
-// Retention is how long a record is kept at least. It bounds the time within
+// Retention is the minimum time a record is kept, and so the minimum time within
 // which a repeated key is recognized.
 const Retention = 24 * time.Hour
 
-// State of a record.
+// State is the state of a record.
 type State string
 
-// The states; an absent record has none.
+// States of a stored record; an absent record has none.
 const (
 	Claimed  State = "claimed"
 	Done     State = "done"
 	Released State = "released"
 )
 
-// Record is what the service holds for a key.
+// Record is the value stored for a key.
 type Record struct {
 	State   State  `json:"state"`
 	Attempt string `json:"attempt"`
 }
 
-// Claims takes claims for one process. It is safe for concurrent use.
+// Claims takes claims on behalf of one process. It is safe for concurrent use.
 type Claims struct {
 	store kv.Store
 	now   func() time.Time
@@ -73,7 +74,8 @@
 	granted time.Time
 }
 
-// NewClaims returns claims in the store. now must be monotonic, as time.Now is.
+// NewClaims returns a Claims that keeps its records in store. now must be monotonic,
+// as time.Now is.
 func NewClaims(store kv.Store, now func() time.Time) *Claims {
 	return &Claims{store: store, now: now}
 }
@@ -87,10 +89,11 @@
 	deadline time.Time
 }
 
-// tries bounds the steps of one settling: each loses a race or an answer.
-const tries = 8
+// maxSwapTries bounds the compare-and-swaps of one call. A further try follows a lost
+// race or a lost answer.
+const maxSwapTries = 8
 
-// Take claims the key for an attempt, a random id never used before. The claim
+// Take claims the key for an attempt, a random id that is never reused. The claim
 // may be used until deadline, which must be well within Retention.
 func (c *Claims) Take(ctx context.Context, key, attempt string, deadline time.Time) (*Claim, error) {
 	lease, err := c.retentionLease(ctx)
@@ -101,7 +104,7 @@
 	// Most keys are new, so the first step writes without reading.
 	revision := uint64(0)
 	unsettled := false
-	for range tries {
+	for range maxSwapTries {
 		claim.revision, err = c.store.Swap(ctx, key, revision, encode(claim.record), lease)
 		if err == nil {
 			return claim, nil
@@ -111,7 +114,7 @@
 			break
 		}
 		var mine bool
-		revision, mine, err = c.look(ctx, key, attempt)
+		revision, mine, err = c.readRecord(ctx, key, attempt)
 		if mine {
 			claim.revision = revision
 			return claim, nil
@@ -123,9 +126,10 @@
 	return nil, takeError(err, unsettled)
 }
 
-// look reads a record back. It returns the revision to swap at, or mine when
-// the record is this attempt's claim, or why the key cannot be claimed.
-func (c *Claims) look(ctx context.Context, key, attempt string) (revision uint64, mine bool, err error) {
+// readRecord reads the key's record. It returns the revision to swap at, mine as true
+// when the record is this attempt's claim, or the reason why the key cannot be
+// claimed.
+func (c *Claims) readRecord(ctx context.Context, key, attempt string) (revision uint64, mine bool, err error) {
 	entry, err := c.store.Get(ctx, key)
 	if err != nil {
 		return 0, false, err
@@ -157,18 +161,19 @@
 	return fmt.Errorf("%w: %v", ErrUnavailable, err)
 }
 
-// Peek tells what the record says now: nil when no attempt holds the key or
-// ran, ErrHeld, ErrDone, or ErrUnavailable. A refusal may say that a request
-// with a key was not run only after Peek returned nil.
+// Peek reads the key's current state: nil when no attempt holds the key or has
+// run, else ErrHeld, ErrDone, or ErrUnavailable. A refusal may state that a
+// request with a key was not run only after Peek returned nil.
 func (c *Claims) Peek(ctx context.Context, key string) error {
-	_, _, err := c.look(ctx, key, "")
+	_, _, err := c.readRecord(ctx, key, "")
 	if err == nil || errors.Is(err, ErrHeld) || errors.Is(err, ErrDone) {
 		return err
 	}
 	return fmt.Errorf("%w: %v", ErrUnavailable, err)
 }
 
-// CheckDeadline must be asked just before the first byte is sent.
+// CheckDeadline returns ErrExpired once the deadline has passed. It must be called
+// just before the first byte is sent.
 func (c *Claim) CheckDeadline() error {
 	if !c.claims.now().Before(c.deadline) {
 		return ErrExpired
@@ -176,14 +181,14 @@
 	return nil
 }
 
-// Release gives the key back. The caller must be certain that no byte reached
-// a target. When the release's own outcome is unknown the key may stay claimed,
-// which is safe; the returned error tells.
+// Release makes the key available again. The caller must be certain that no byte
+// reached a target. When the outcome of the release is unknown, Release returns an
+// error and the key may stay claimed, which is safe.
 func (c *Claim) Release(ctx context.Context) error {
 	return c.finish(ctx, Released)
 }
 
-// Done records that the request ran to its end.
+// Done records that the request ran to completion.
 func (c *Claim) Done(ctx context.Context) error {
 	return c.finish(ctx, Done)
 }
@@ -194,10 +199,10 @@
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
-	for range tries {
+	for range maxSwapTries {
 		_, err = c.claims.store.Swap(ctx, c.key, c.revision, next, lease)
-		// A conflict means that an earlier try took effect: only the holder moves
-		// a claimed record.
+		// A conflict means that an earlier try took effect: only the holder
+		// changes a claimed record.
 		if err == nil || errors.Is(err, kv.ErrConflict) {
 			return nil
 		}
@@ -208,9 +213,9 @@
 	return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 }
 
-// retentionLease returns the lease that bounds how long records are kept. One
-// lease serves all claims of a part of the retention, so that a claim costs
-// two writes and no more; it is never kept alive, so the records go by themselves.
+// retentionLease returns the lease that limits how long records are kept. Claims
+// made within an eighth of Retention share one lease, so that a claim costs only
+// two writes. The lease is never kept alive, so the records expire by themselves.
 func (c *Claims) retentionLease(ctx context.Context) (kv.LeaseID, error) {
 	const renewals = 8
 	c.mu.Lock()
@@ -230,7 +235,7 @@
 func encode(r Record) []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		// Record holds two strings.
+		// Cannot fail: Record holds two strings.
 		panic(err)
 	}
 	return b
@@ -239,7 +244,7 @@
 func decode(value []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
-		return r, fmt.Errorf("once: record not readable: %w", err)
+		return r, fmt.Errorf("once: cannot decode record: %w", err)
 	}
 	return r, nil
 }
--- a/pkg/once/once_test.go
+++ b/pkg/once/once_test.go
@@ -15,10 +15,10 @@
 	"github.com/croftyard/croftyard/pkg/kv"
 )
 
-// Property tests draw the same cases in every run.
+// A fixed seed makes property tests draw the same cases in every run.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
 
-// clock is a time that tests move.
+// clock is a manually advanced clock.
 type clock struct{ now time.Time }
 
 func newClock() *clock { return &clock{now: time.Unix(1_800_000_000, 0)} }
@@ -31,7 +31,7 @@
 
 func (c *clock) deadline() time.Time { return c.now.Add(time.Minute) }
 
-func TestClaimLife(t *testing.T) {
+func TestClaimTakeReleaseDone(t *testing.T) {
 	c := newClock()
 	claims := c.claims(kv.NewMemory(c.read))
 	require.NoError(t, claims.Peek(ctx, "k"))
@@ -62,7 +62,7 @@
 func TestRecordIsKeptForTheRetention(t *testing.T) {
 	c := newClock()
 	claims := c.claims(kv.NewMemory(c.read))
-	// The lease that serves this claim is nearly used up.
+	// The second claim uses this lease just before its replacement is due.
 	_, err := claims.Take(ctx, "early", "a0", c.deadline())
 	require.NoError(t, err)
 	c.now = c.now.Add(Retention/8 - time.Second)
@@ -73,7 +73,7 @@
 	assert.ErrorIs(t, claims.Peek(ctx, "k"), ErrDone)
 }
 
-func TestLostAnswers(t *testing.T) {
+func TestTakeUnderStoreFaults(t *testing.T) {
 	c := newClock()
 	for _, f := range []struct {
 		name   string
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestLateWriteOfAClaimThatGaveUpRunsNothing(t *testing.T) {
+func TestDelayedClaimWriteBlocksLaterAttempts(t *testing.T) {
 	c := newClock()
 	store := faulty.New(kv.NewMemory(c.read), 1)
 	store.Delayed = 1
@@ -100,7 +100,7 @@
 	store.Delayed = 0
 	store.Deliver()
 	_, err = c.claims(store).Take(ctx, "k", "a2", c.deadline())
-	assert.ErrorIs(t, err, ErrHeld, "nobody runs it, and nobody is told that it was not run")
+	assert.ErrorIs(t, err, ErrHeld, "no attempt runs, and no caller is told that the request was not run")
 }
 
 func TestPeekDuringAnOutage(t *testing.T) {
@@ -110,8 +110,9 @@
 	assert.ErrorIs(t, c.claims(store).Peek(ctx, "k"), ErrUnavailable)
 }
 
-// TestAtMostOnceUnderFaults drives several claimants of one key through random
-// faults: the key runs at most once, and free is said only before it ran.
+// TestAtMostOnceUnderFaults runs several claimants of one key under random store
+// faults: the request runs at most once, and Peek never reports the key free after
+// it ran.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newClock()
@@ -153,7 +154,7 @@
 			"deliver": func(*rapid.T) { store.Deliver() },
 			"peek": func(t *rapid.T) {
 				if c.claims(store).Peek(ctx, "k") == nil {
-					require.Zero(t, runs, "said to be free after it ran")
+					require.Zero(t, runs, "reported as free after it ran")
 				}
 			},
 			"": func(t *rapid.T) { require.LessOrEqual(t, runs, 1) },
