--- a/internal/router/orders.go
+++ b/internal/router/orders.go
@@ -157,7 +157,7 @@
 
 // order sends one order if the right allows it now, and tells whether it did.
 func (r *Router) order(ctx context.Context, holder *orders.Holder, l load, sent map[string]time.Time) bool {
-	order, err := holder.Order(l.engine.ChecksOrders, true)
+	order, err := holder.Authorize(l.engine.ChecksOrders, true)
 	if err != nil {
 		r.log.Write(event.OrderHeldBack, event.F("engine", l.engine.Name), event.F("error", err))
 		return false
--- a/pkg/orders/example_test.go
+++ b/pkg/orders/example_test.go
@@ -14,9 +14,9 @@
 	terms := orders.Terms{TTL: 10 * time.Second, Margin: time.Second, Loads: 0.5}
 	holder := orders.NewHolder(kv.NewMemory(time.Now), "router-1", terms, time.Now)
 	fmt.Println(holder.Hold(context.Background()))
-	order, err := holder.Order(true, true)
+	order, err := holder.Authorize(true, true)
 	fmt.Println(order.Token, err)
-	_, err = holder.Order(true, true)
+	_, err = holder.Authorize(true, true)
 	fmt.Println(err)
 	// Output:
 	// <nil>
--- a/pkg/orders/orders.go
+++ b/pkg/orders/orders.go
@@ -182,10 +182,10 @@
 	Before time.Time
 }
 
-// Order asks for leave to give an order, just before sending it. checks tells
+// Authorize asks for leave to give an order, just before sending it. checks tells
 // that the target refuses smaller tokens; load that the order draws on the
 // weight store.
-func (h *Holder) Order(checks, load bool) (Order, error) {
+func (h *Holder) Authorize(checks, load bool) (Order, error) {
 	now := h.now()
 	before := h.until.Add(-h.terms.Margin)
 	switch {
--- a/pkg/orders/orders_test.go
+++ b/pkg/orders/orders_test.go
@@ -34,7 +34,7 @@
 
 func expectNotNow(t *testing.T, h *Holder, checks, load bool) {
 	t.Helper()
-	_, err := h.Order(checks, load)
+	_, err := h.Authorize(checks, load)
 	assert.ErrorIs(t, err, ErrNotNow)
 }
 
@@ -44,7 +44,7 @@
 	a, b := NewHolder(store, "a", terms, c.read), NewHolder(store, "b", terms, c.read)
 	require.NoError(t, a.Hold(ctx))
 	assert.ErrorIs(t, b.Hold(ctx), ErrHeld)
-	first, err := a.Order(true, false)
+	first, err := a.Authorize(true, false)
 	require.NoError(t, err)
 	c.pass(5 * time.Second)
 	require.NoError(t, a.Hold(ctx))
@@ -52,10 +52,10 @@
 	assert.ErrorIs(t, b.Hold(ctx), ErrHeld, "kept alive")
 	c.pass(5 * time.Second)
 	require.NoError(t, b.Hold(ctx))
-	second, err := b.Order(true, false)
+	second, err := b.Authorize(true, false)
 	require.NoError(t, err)
 	assert.Greater(t, second.Token, first.Token)
-	_, err = a.Order(true, false)
+	_, err = a.Authorize(true, false)
 	assert.ErrorIs(t, err, ErrLost)
 	assert.ErrorIs(t, a.Hold(ctx), ErrLost)
 }
@@ -66,11 +66,11 @@
 	require.NoError(t, h.Hold(ctx))
 	expectNotNow(t, h, false, false) // an earlier holder's order may arrive yet
 	c.pass(terms.Margin)
-	_, err := h.Order(false, false)
+	_, err := h.Authorize(false, false)
 	require.NoError(t, err)
 	c.pass(terms.TTL - 2*terms.Margin)
 	expectNotNow(t, h, false, false) // near the lease's end
-	_, err = h.Order(true, false)
+	_, err = h.Authorize(true, false)
 	assert.NoError(t, err)
 }
 
@@ -78,11 +78,11 @@
 	c := newClock()
 	h := NewHolder(kv.NewMemory(c.read), "a", terms, c.read)
 	require.NoError(t, h.Hold(ctx))
-	_, err := h.Order(true, true)
+	_, err := h.Authorize(true, true)
 	require.NoError(t, err)
 	expectNotNow(t, h, true, true)
 	c.pass(time.Second)
-	_, err = h.Order(true, true)
+	_, err = h.Authorize(true, true)
 	assert.NoError(t, err)
 }
 
@@ -92,10 +92,10 @@
 	h := NewHolder(downKeepAlive{store}, "a", terms, c.read)
 	require.NoError(t, h.Hold(ctx))
 	assert.ErrorIs(t, h.Hold(ctx), ErrUnavailable)
-	_, err := h.Order(true, false)
+	_, err := h.Authorize(true, false)
 	assert.NoError(t, err)
 	c.pass(terms.TTL)
-	_, err = h.Order(true, false)
+	_, err = h.Authorize(true, false)
 	assert.ErrorIs(t, err, ErrLost)
 }
 
@@ -135,7 +135,7 @@
 			case 0:
 				_ = h.Hold(ctx)
 			case 1:
-				if order, err := h.Order(false, false); err == nil {
+				if order, err := h.Authorize(false, false); err == nil {
 					delay := rapid.SampledFrom([]time.Duration{0, terms.Margin, 2*terms.Margin - 1}).Draw(t, "delay")
 					// Orders may overtake each other on their way.
 					flying = append(flying, sent{order.Token, c.now.Add(delay)})
