--- a/internal/router/orders.go
+++ b/internal/router/orders.go
@@ -149,7 +149,7 @@
 		}
 	}
 	var loads []load
-	for _, hash := range orders.Missing(open, adapter, copies) {
+	for _, hash := range orders.EnginesToLoad(open, adapter, copies) {
 		loads = append(loads, load{engine: p.engines[hash], adapter: adapter})
 	}
 	return loads
--- a/pkg/orders/plan.go
+++ b/pkg/orders/plan.go
@@ -15,10 +15,10 @@
 	Adapters []string
 }
 
-// Missing returns the engines that are to load an adapter so that copies of all
+// EnginesToLoad returns the engines that are to load an adapter so that copies of all
 // hold it: the first by rendezvous, so that every holder of the right chooses
 // alike.
-func Missing(open []Candidate, adapter string, copies int) []uint64 {
+func EnginesToLoad(open []Candidate, adapter string, copies int) []uint64 {
 	key := placement.Hash(adapter)
 	open = slices.Clone(open)
 	slices.SortFunc(open, func(a, b Candidate) int {
