--- a/pkg/orders/example_test.go
+++ b/pkg/orders/example_test.go
@@ -9,7 +9,7 @@
 	"github.com/croftyard/croftyard/pkg/orders"
 )
 
-// The holder asks for leave just before it sends an order.
+// The holder asks for permission just before it sends an order.
 func Example() {
 	terms := orders.Terms{TTL: 10 * time.Second, Margin: time.Second, Loads: 0.5}
 	holder := orders.NewHolder(kv.NewMemory(time.Now), "router-1", terms, time.Now)
--- a/pkg/orders/orders.go
+++ b/pkg/orders/orders.go
@@ -1,19 +1,20 @@
-// Package orders gives targets orders that only one router of the fleet may
-// give at a time: to load an adapter, a model, a version, or to change role.
+// Package orders elects the one router of the fleet that may send orders to
+// targets: to load an adapter, a model or a version, or to change role.
 //
-// The right to give them is a lease in the key-value service, and each holder
-// has a token larger than every earlier one:
+// The holder owns a lease in the key-value store, and its fencing token is larger
+// than that of every earlier holder:
 //
-//	record {holder, token} bound to a lease; a new holder swaps in token + 1
-//	target that checks:   refuses a smaller token than it has seen
-//	target that does not: gets orders only well inside the lease, and a new
-//	                      holder waits the old lease out, and a margin, first
+//	holder record {holder, token}: kept; a new holder swaps in token + 1
+//	alive key: bound to the lease; present while the lease may be held
+//	target that checks tokens: refuses a token smaller than the largest it has seen
+//	target that does not:      gets orders only well inside the lease, and a new
+//	                           holder first waits for the old lease and a margin
 //
-// A holder that was paused past its lease may act as if it held it still. A
-// target that checks refuses it; for one that does not, the holder looks at its
+// A holder paused past its lease may still act as if it held it. A target that
+// checks tokens refuses its orders. For other targets, the holder reads its
 // monotonic clock just before sending, and the margin covers the time from that
-// look to the order's arrival. Orders state the wanted end, so one that is
-// repeated does no harm.
+// reading to the order's arrival. An order states the desired state, so it is
+// idempotent.
 package orders
 
 import (
@@ -28,39 +29,40 @@
 	"github.com/croftyard/croftyard/pkg/kv"
 )
 
-// HolderKey is where the record stands in the service.
+// HolderKey is the key of the holder record in the store.
 const HolderKey = "croftyard/orders/holder"
 
 // Errors of this package.
 var (
 	// ErrHeld: another router holds the lease.
-	ErrHeld = errors.New("orders: held by another")
-	// ErrNotNow: the order must wait: for the margin, or for the weight store.
+	ErrHeld = errors.New("orders: lease held by another router")
+	// ErrNotNow: the order must wait for the margin or for the weight store.
 	ErrNotNow = errors.New("orders: not now")
 	// ErrLost: the lease is, or may be, no longer held.
 	ErrLost = errors.New("orders: lease lost")
-	// ErrUnavailable: the service could not be asked.
-	ErrUnavailable = errors.New("orders: service unavailable")
+	// ErrUnavailable: the store could not be used.
+	ErrUnavailable = errors.New("orders: store unavailable")
 )
 
-// Terms are the times and rates of the right to give orders.
+// Terms are the lease times and the load rate that a holder observes.
 type Terms struct {
-	// TTL is the lease's length. Margin is kept free before the lease's end and
-	// again after it, so a pause between the look at the clock and an order's
-	// arrival does no harm up to twice the margin, clock drift included.
+	// TTL is the duration of the lease. Targets that do not check tokens get
+	// no orders within Margin before the lease's end or after it, so a delay of up
+	// to twice the margin between reading the clock and an order's arrival, clock
+	// drift included, is safe.
 	TTL    time.Duration
 	Margin time.Duration
-	// Loads is the loads a second that the weight store bears.
+	// Loads is the number of loads per second that the weight store can serve.
 	Loads float64
 }
 
-// record is what the service holds.
+// record is the value stored under HolderKey.
 type record struct {
 	Holder string `json:"holder"`
 	Token  uint64 `json:"token"`
 }
 
-// Holder tries to hold the right for one process. It is not safe for
+// Holder acquires and renews the lease for one process. It is not safe for
 // concurrent use.
 type Holder struct {
 	store kv.Store
@@ -71,14 +73,15 @@
 
 	lease kv.LeaseID
 	token uint64
-	// until is when the lease ends at the earliest, by this process's clock:
-	// counted from before the service was asked.
+	// until is the earliest end of the lease by this process's clock: counted from
+	// before the store was asked.
 	until time.Time
-	// unchecked is when targets that do not check tokens may get orders.
-	unchecked time.Time
+	// uncheckedFrom is the time from which targets that do not check tokens may get
+	// orders.
+	uncheckedFrom time.Time
 }
 
-// NewHolder returns a holder that does not hold the right. now must be
+// NewHolder returns a Holder that does not yet hold the lease. now must be
 // monotonic, as time.Now is.
 func NewHolder(store kv.Store, name string, terms Terms, now func() time.Time) *Holder {
 	return &Holder{
@@ -87,21 +90,21 @@
 	}
 }
 
-// Held tells whether the right is held, as far as this process knows.
+// Held reports whether the lease is held, as far as this process knows.
 func (h *Holder) Held() bool {
 	return h.token > 0 && h.now().Before(h.until)
 }
 
-// Hold takes the right or keeps it. It is to be called several times within
-// the TTL. It returns nil while the right is held.
+// Hold acquires or renews the lease. The caller must call it several times within
+// the TTL. It returns nil after it has acquired or renewed the lease.
 func (h *Holder) Hold(ctx context.Context) error {
 	if h.token > 0 {
-		return h.keep(ctx)
+		return h.renew(ctx)
 	}
-	return h.take(ctx)
+	return h.acquire(ctx)
 }
 
-func (h *Holder) keep(ctx context.Context) error {
+func (h *Holder) renew(ctx context.Context) error {
 	asked := h.now()
 	err := h.store.KeepAlive(ctx, h.lease)
 	switch {
@@ -112,7 +115,7 @@
 		h.drop()
 		return fmt.Errorf("%w: %v", ErrLost, err)
 	}
-	// The lease runs on as far as it is known to.
+	// The lease stays valid until its last known end.
 	return fmt.Errorf("%w: %v", ErrUnavailable, err)
 }
 
@@ -121,7 +124,7 @@
 	h.lease = kv.NoLease
 }
 
-func (h *Holder) take(ctx context.Context) error {
+func (h *Holder) acquire(ctx context.Context) error {
 	entry, err := h.store.Get(ctx, HolderKey)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
@@ -131,18 +134,18 @@
 		return err
 	}
 	if entry.Revision != 0 && old.Holder != "" {
-		if held, err := h.stillHeld(ctx); err != nil || held {
+		if held, err := h.aliveKeyExists(ctx); err != nil || held {
 			return errors.Join(ErrHeld, err)
 		}
 	}
-	return h.swap(ctx, entry.Revision, old.Token+1)
+	return h.writeHolder(ctx, entry.Revision, old.Token+1)
 }
 
-// aliveKey is bound to the holder's lease; the record itself stays, since the
-// token must grow for ever.
+// aliveKey is bound to the holder's lease. The holder record itself is kept, since
+// the token must always increase.
 const aliveKey = HolderKey + "/alive"
 
-func (h *Holder) stillHeld(ctx context.Context) (bool, error) {
+func (h *Holder) aliveKeyExists(ctx context.Context) (bool, error) {
 	alive, err := h.store.Get(ctx, aliveKey)
 	if err != nil {
 		return false, fmt.Errorf("%w: %v", ErrUnavailable, err)
@@ -150,10 +153,10 @@
 	return alive.Revision != 0, nil
 }
 
-// swap takes the right: first the alive key under a new lease, which only one
-// router can create, then the larger token. A step whose answer was lost leaves
-// an alive key that lapses by itself.
-func (h *Holder) swap(ctx context.Context, revision, token uint64) error {
+// writeHolder first creates the alive key under a new lease, which only one router
+// can do, then writes the larger token. A step whose answer was lost leaves an
+// alive key that expires by itself.
+func (h *Holder) writeHolder(ctx context.Context, revision, token uint64) error {
 	asked := h.now()
 	lease, err := h.store.Grant(ctx, h.terms.TTL)
 	if err != nil {
@@ -168,23 +171,23 @@
 	h.lease = lease
 	h.token = token
 	h.until = asked.Add(h.terms.TTL)
-	// Whoever held the right before may believe so until its lease's end, which
-	// is past; what it sent then arrives within the margin.
-	h.unchecked = h.now().Add(h.terms.Margin)
+	// The previous holder may have sent orders until its lease's end, which is past;
+	// these arrive within the margin.
+	h.uncheckedFrom = h.now().Add(h.terms.Margin)
 	return nil
 }
 
-// Order is leave to send one order now.
+// Order is the permission to send one order now.
 type Order struct {
-	// Token is to be sent with the order.
+	// Token must be sent with the order.
 	Token uint64
-	// Before is the latest moment to send the first byte.
+	// Before is the latest time to send the first byte.
 	Before time.Time
 }
 
-// Authorize asks for leave to give an order, just before sending it. checks tells
-// that the target refuses smaller tokens; load that the order draws on the
-// weight store.
+// Authorize grants permission to send one order and must be called just before
+// sending it. checks means that the target refuses smaller tokens, load that the
+// order reads from the weight store.
 func (h *Holder) Authorize(checks, load bool) (Order, error) {
 	now := h.now()
 	before := h.until.Add(-h.terms.Margin)
@@ -193,8 +196,8 @@
 		return Order{}, ErrLost
 	case !checks && !now.Before(before):
 		return Order{}, fmt.Errorf("%w: the lease is near its end", ErrNotNow)
-	case !checks && now.Before(h.unchecked):
-		return Order{}, fmt.Errorf("%w: the last holder's orders may still arrive", ErrNotNow)
+	case !checks && now.Before(h.uncheckedFrom):
+		return Order{}, fmt.Errorf("%w: orders of the previous holder may still arrive", ErrNotNow)
 	case load && !h.loads.AllowN(now, 1):
 		return Order{}, fmt.Errorf("%w: the weight store's rate", ErrNotNow)
 	}
@@ -204,7 +207,7 @@
 func encode(r record) []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		// record holds a string and a number.
+		// Cannot fail: record holds a string and a number.
 		panic(err)
 	}
 	return b
@@ -216,7 +219,7 @@
 		return r, nil
 	}
 	if err := json.Unmarshal(value, &r); err != nil {
-		return r, fmt.Errorf("%w: record not readable: %v", ErrUnavailable, err)
+		return r, fmt.Errorf("%w: cannot decode record: %v", ErrUnavailable, err)
 	}
 	return r, nil
 }
--- a/pkg/orders/orders_test.go
+++ b/pkg/orders/orders_test.go
@@ -16,7 +16,7 @@
 	"github.com/croftyard/croftyard/pkg/kv"
 )
 
-// Property tests draw the same cases in every run.
+// A fixed seed makes property tests draw the same cases in every run.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
 
 var (
@@ -49,7 +49,7 @@
 	c.pass(5 * time.Second)
 	require.NoError(t, a.Hold(ctx))
 	c.pass(6 * time.Second)
-	assert.ErrorIs(t, b.Hold(ctx), ErrHeld, "kept alive")
+	assert.ErrorIs(t, b.Hold(ctx), ErrHeld, "the lease was kept alive")
 	c.pass(5 * time.Second)
 	require.NoError(t, b.Hold(ctx))
 	second, err := b.Authorize(true, false)
@@ -64,7 +64,7 @@
 	c := newClock()
 	h := NewHolder(kv.NewMemory(c.read), "a", terms, c.read)
 	require.NoError(t, h.Hold(ctx))
-	expectNotNow(t, h, false, false) // an earlier holder's order may arrive yet
+	expectNotNow(t, h, false, false) // an earlier holder's order may still arrive
 	c.pass(terms.Margin)
 	_, err := h.Authorize(false, false)
 	require.NoError(t, err)
@@ -103,11 +103,11 @@
 
 func (downKeepAlive) KeepAlive(context.Context, kv.LeaseID) error { return kv.ErrUnknown }
 
-// TestOrdersNeverCross sends orders of several holders, paused at any time up
-// to twice the margin between leave and arrival, with faults of the service: a
-// checking target never takes a smaller token, and a target that does not check
-// never gets an older holder's order after a newer one's.
-func TestOrdersNeverCross(t *testing.T) {
+// TestOrdersOfEarlierHoldersNeverArriveLater sends orders of several holders, each
+// delayed by less than twice the margin between permission and arrival, under store
+// faults. Tokens never decrease on arrival, so even a target that does not check tokens gets no
+// older holder's order after a newer one's.
+func TestOrdersOfEarlierHoldersNeverArriveLater(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newClock()
 		store := faulty.New(kv.NewMemory(c.read), rapid.Uint64().Draw(t, "seed"))
@@ -137,7 +137,7 @@
 			case 1:
 				if order, err := h.Authorize(false, false); err == nil {
 					delay := rapid.SampledFrom([]time.Duration{0, terms.Margin, 2*terms.Margin - 1}).Draw(t, "delay")
-					// Orders may overtake each other on their way.
+					// Orders may overtake each other in transit.
 					flying = append(flying, sent{order.Token, c.now.Add(delay)})
 					slices.SortFunc(flying, func(a, b sent) int { return a.at.Compare(b.at) })
 				}
--- a/pkg/orders/plan.go
+++ b/pkg/orders/plan.go
@@ -7,17 +7,17 @@
 	"github.com/croftyard/croftyard/pkg/placement"
 )
 
-// Candidate is an engine that could be ordered to load an adapter.
+// Candidate is an engine that can be ordered to load an adapter.
 type Candidate struct {
-	// Hash names the engine.
+	// Hash identifies the engine.
 	Hash uint64
-	// Adapters are those that it holds.
+	// Adapters are the adapters that the engine has loaded.
 	Adapters []string
 }
 
-// EnginesToLoad returns the engines that are to load an adapter so that copies of all
-// hold it: the first by rendezvous, so that every holder of the right chooses
-// alike.
+// EnginesToLoad returns the engines that must load the adapter so that copies
+// engines have it. Rendezvous hashing ranks the engines, so that every lease holder
+// chooses the same ones.
 func EnginesToLoad(open []Candidate, adapter string, copies int) []uint64 {
 	key := placement.Hash(adapter)
 	open = slices.Clone(open)
@@ -33,7 +33,7 @@
 	return missing
 }
 
-// Adapters returns the names that stand for one adapter each, sorted, once.
+// Adapters returns the names in named except all, sorted, without duplicates.
 func Adapters(named []string, all string) []string {
 	list := slices.DeleteFunc(slices.Clone(named), func(name string) bool { return name == all })
 	slices.Sort(list)
--- a/pkg/orders/plan_test.go
+++ b/pkg/orders/plan_test.go
@@ -16,7 +16,7 @@
 			open[i].Adapters = []string{"a"}
 		}
 	}
-	assert.Equal(t, first[1:], EnginesToLoad(open, "a", 2), "what is held is not ordered")
+	assert.Equal(t, first[1:], EnginesToLoad(open, "a", 2), "an adapter already loaded is not ordered again")
 	assert.Len(t, EnginesToLoad(open, "b", 9), 4)
 	assert.Empty(t, EnginesToLoad(open, "b", 0))
 	assert.Empty(t, EnginesToLoad(nil, "b", 2))
