--- a/pkg/once/example_test.go
+++ b/pkg/once/example_test.go
@@ -10,13 +10,13 @@
 	"github.com/croftyard/croftyard/pkg/once"
 )
 
-// A key is claimed, its request sent, and the claim ended.
+// Claims a key, sends its request and completes the claim.
 func Example() {
 	ctx := context.Background()
 	claims := once.NewClaims(kv.NewMemory(time.Now), time.Now)
 	deadline := time.Now().Add(time.Minute)
 	claim, err := claims.Take(ctx, "deposit-7", "attempt-1", deadline)
-	if err == nil && claim.MaySend() == nil {
+	if err == nil && claim.CheckDeadline() == nil {
 		fmt.Println("recorded")
 		err = claim.Done(ctx)
 	}
