--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -23,13 +23,13 @@
 	// The live heap is a few megabytes: collecting more often costs little time
 	// and keeps the peak low.
 	debug.SetGCPercent(heapGrowth)
-	e, err := entry.Start(read, entry.Outside{
+	e, err := entry.Start(read, entry.Environment{
 		Source: func(s settings.Settings, call time.Duration) watch.Source {
 			return platform.NewStore(s.Platform.URL, s.Platform.Timeout, call)
 		},
 		Dialect:   platform.Dialect(),
 		ReadyPath: platform.ReadyPath,
-		Held:      platform.Held,
+		HeldParts: platform.Held,
 
 		LogDropped: sink.Dropped,
 	}, log)
--- a/internal/demo/routes.go
+++ b/internal/demo/routes.go
@@ -197,13 +197,13 @@
 	s.Platform.Kind, s.Platform.URL = settings.PlatformStore, "http://"+f.address(portOfStore)
 	s.Listen = settings.Listen{Callers: f.address(first), Readiness: f.address(first + 1), Peers: f.address(first + 2), Admin: f.address(first + 3)}
 	s.Peers.Seeds = []string{f.address(2)}
-	e, err := entry.Start(s, entry.Outside{
+	e, err := entry.Start(s, entry.Environment{
 		Source: func(s settings.Settings, call time.Duration) watch.Source {
 			return platform.NewStore(s.Platform.URL, s.Platform.Timeout, call)
 		},
 		Dialect:   platform.Dialect(),
 		ReadyPath: platform.ReadyPath,
-		Held:      platform.Held,
+		HeldParts: platform.Held,
 	}, event.New(log, name, f.options.Level))
 	if err != nil {
 		return err
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -40,16 +40,16 @@
 // ErrCut: the stop's limit was reached with requests in flight.
 var ErrCut = errors.New("entry: requests cut")
 
-// Outside is what the surroundings bring: where knowledge is kept, and how
+// Environment is what the surroundings bring: where knowledge is kept, and how
 // callers, replicas and the balancer speak.
-type Outside struct {
+type Environment struct {
 	// Source returns a client of where knowledge is kept, by the settings, that gives
 	// each of its calls a time.
 	Source    func(s settings.Settings, call time.Duration) watch.Source
 	Dialect   front.Dialect
 	ReadyPath string
-	// Held asks an engine what it holds, and tells the head of its answer. It may be nil.
-	Held func(ctx context.Context, address string, answered func(*http.Response)) ([]balance.Part, error)
+	// HeldParts asks an engine what it holds, and tells the head of its answer. It may be nil.
+	HeldParts func(ctx context.Context, address string, answered func(*http.Response)) ([]balance.Part, error)
 	// LogDropped returns how many log lines found no room.
 	LogDropped func() uint64
 }
@@ -59,7 +59,7 @@
 	settings settings.Settings
 	// bounds are the users' by the newest settings.
 	bounds   atomic.Pointer[settings.Bounds]
-	outside  Outside
+	outside  Environment
 	log      *event.Log
 	holder   *freshness.Holder
 	balancer *balance.Balancer
@@ -92,7 +92,7 @@
 }
 
 // Start opens the listeners and begins to serve.
-func Start(s settings.Settings, outside Outside, log *event.Log) (*Entry, error) {
+func Start(s settings.Settings, outside Environment, log *event.Log) (*Entry, error) {
 	e := &Entry{settings: s, started: steady.Now(), outside: outside, log: log, accepted: make(chan struct{}), stop: make(chan struct{}), done: make(chan struct{})}
 	e.bounds.Store(&s.Bounds)
 	e.killed, e.kill = context.WithCancel(context.Background())
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -50,7 +50,7 @@
 	set.Listen = settings.Listen{Callers: "127.0.0.1:0", Peers: "127.0.0.1:0", Admin: "127.0.0.1:0", Readiness: "127.0.0.1:0"}
 	set.Bounds.Apply = 100 * time.Millisecond
 	set.Bounds.Grace = grace
-	e, err := Start(set, Outside{
+	e, err := Start(set, Environment{
 		Source: func(settings.Settings, time.Duration) watch.Source { return s },
 		Dialect: front.Dialect{AttemptID: "Try", Key: "Authorization", ParseParts: func(string) []balance.Part { return nil },
 			ParseLoad: func(string) (int, bool) { return 0, false }},
--- a/internal/entry/recall.go
+++ b/internal/entry/recall.go
@@ -26,7 +26,7 @@
 // run for longer knows; when all routers started anew, the engines are asked,
 // each by one router, which tells the others.
 func (e *Entry) recall(ctx context.Context) {
-	if e.settings.Routes.FirstStart || e.outside.Held == nil || e.settings.Without.Has(mechanism.Recall) {
+	if e.settings.Routes.FirstStart || e.outside.HeldParts == nil || e.settings.Without.Has(mechanism.Recall) {
 		e.gossip.SetHoldersKnown()
 		return
 	}
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
 	defer cancel()
 	sent := steady.Now()
-	parts, err := e.outside.Held(ctx, r.Address, func(answer *http.Response) { e.front.RecordRest(r.ID, sent, answer) })
+	parts, err := e.outside.HeldParts(ctx, r.Address, func(answer *http.Response) { e.front.RecordRest(r.ID, sent, answer) })
 	e.log.Write(event.EngineAsked, event.F("replica", r.ID), event.F("parts", len(parts)), event.F("error", err))
 	e.balancer.PartsReported(r.ID, parts, steady.Now())
 }
--- a/test/crash/rig_test.go
+++ b/test/crash/rig_test.go
@@ -143,13 +143,13 @@
 	f.peers = append(f.peers, address)
 	s.Peers.Seeds = f.peers[:min(len(f.peers), 2)]
 	log := event.Discard()
-	e, err := entry.Start(s, entry.Outside{
+	e, err := entry.Start(s, entry.Environment{
 		Source: func(s settings.Settings, call time.Duration) watch.Source {
 			return platform.NewStore(s.Platform.URL, s.Platform.Timeout, call)
 		},
 		Dialect:    platform.Dialect(),
 		ReadyPath:  platform.ReadyPath,
-		Held:       platform.Held,
+		HeldParts:  platform.Held,
 		LogDropped: func() uint64 { return 0 },
 	}, log)
 	require.NoError(f.t, err)
