--- a/internal/entry/accept_test.go
+++ b/internal/entry/accept_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeListener fails while descriptors are out and else waits for a connection.
+// fakeListener fails while out is set and otherwise waits for a connection.
 type fakeListener struct {
 	net.Listener
 	out    atomic.Bool
@@ -34,23 +34,23 @@
 	}
 }
 
-func TestReadinessFollowsWhetherConnectionsCanBeTaken(t *testing.T) {
+func TestStarvedWhileDescriptorsExhausted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		under := &fakeListener{next: make(chan net.Conn), closed: make(chan struct{})}
 		under.out.Store(true)
 		var relieved, runs atomic.Int32
-		taker := &taker{Listener: under, relieve: func(err error, first bool) {
+		listener := &retryListener{Listener: under, onExhausted: func(err error, first bool) {
 			assert.ErrorIs(t, err, syscall.EMFILE)
 			relieved.Add(1)
 			if first {
 				runs.Add(1)
 			}
 		}}
-		assert.False(t, taker.starved(time.Now()), "nothing has failed")
+		assert.False(t, listener.starved(time.Now()), "nothing has failed")
 		taken := make(chan error)
 		go func() {
 			for {
-				_, err := taker.Accept()
+				_, err := listener.Accept()
 				taken <- err
 				if err != nil {
 					return
@@ -58,14 +58,14 @@
 			}
 		}()
 		time.Sleep(starvedTime / 2)
-		assert.False(t, taker.starved(time.Now()), "a moment without descriptors")
+		assert.False(t, listener.starved(time.Now()), "a moment without descriptors")
 		assert.EqualValues(t, starvedTime/2/acceptPause+1, relieved.Load(), "each time they are out")
 		assert.EqualValues(t, 1, runs.Load())
 		time.Sleep(starvedTime)
-		assert.True(t, taker.starved(time.Now()))
+		assert.True(t, listener.starved(time.Now()))
 		under.out.Store(false)
 		time.Sleep(starvedRest + 2*acceptPause)
-		assert.False(t, taker.starved(time.Now()), "it waits for callers, who come only if it says that it is ready")
+		assert.False(t, listener.starved(time.Now()), "it waits for callers, who come only if it says that it is ready")
 		near, far := net.Pipe()
 		defer near.Close()
 		defer far.Close()
@@ -76,10 +76,10 @@
 	})
 }
 
-func TestOtherErrorsEndAccept(t *testing.T) {
+func TestAcceptReturnsOtherErrors(t *testing.T) {
 	broken := errors.New("broken")
-	taker := &taker{Listener: failing{err: broken}, relieve: func(error, bool) { assert.Fail(t, "descriptors are not out") }}
-	_, err := taker.Accept()
+	listener := &retryListener{Listener: failing{err: broken}, onExhausted: func(error, bool) { assert.Fail(t, "descriptors are not out") }}
+	_, err := listener.Accept()
 	assert.ErrorIs(t, err, broken)
 }
 
@@ -90,13 +90,13 @@
 
 func (f failing) Accept() (net.Conn, error) { return nil, f.err }
 
-func TestARouterThatCanTakeNobodyIsNotReady(t *testing.T) {
+func TestNotReadyWhileStarved(t *testing.T) {
 	e := start(t, &source{snapshot: served("127.0.0.1:1")}, time.Second)
 	until(e.Ready)
 	for end := time.Now().Add(starvedTime + acceptPause); time.Now().Before(end); time.Sleep(acceptPause) {
-		e.taker.failed(time.Now())
+		e.callerListener.recordFailure(time.Now())
 	}
-	e.taker.failed(time.Now())
+	e.callerListener.recordFailure(time.Now())
 	assert.False(t, e.Ready())
 	until(e.Ready)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -2,10 +2,10 @@
 // planned stop.
 //
 //	Start -> not ready until a configuration and the replicas are known
-//	Stop  -> not ready at once; serves on, each answer being the last of its
-//	         connection; ends early once callers have no connection left; late
-//	         in the grace time connections that rest are closed, and at the
-//	         limit what is still in flight is cut
+//	Stop  -> not ready at once; keeps serving, each answer being the last of its
+//	         connection; ends early once callers have no open connection; late in
+//	         the grace time idle connections are closed, and at the limit requests
+//	         still in flight are cut
 package entry
 
 import (
@@ -37,29 +37,30 @@
 	"github.com/croftyard/croftyard/pkg/turns"
 )
 
-// ErrCut: the stop's limit was reached with requests in flight.
+// ErrCut reports that a stop reached its limit with requests in flight.
 var ErrCut = errors.New("entry: requests cut")
 
-// Environment is what the surroundings bring: where knowledge is kept, and how
-// callers, replicas and the balancer speak.
+// Environment connects the router to its surroundings: the store it reads, and the
+// protocols of callers, replicas and the balancer.
 type Environment struct {
-	// Source returns a client of where knowledge is kept, by the settings, that gives
-	// each of its calls a time.
+	// Source returns a client of the store that holds the configuration and the replicas.
+	// Each of its calls times out after call.
 	Source    func(s settings.Settings, call time.Duration) watch.Source
 	Dialect   front.Dialect
 	ReadyPath string
-	// HeldParts asks an engine what it holds, and tells the head of its answer. It may be nil.
+	// HeldParts asks an engine which parts of prompts it holds and passes the head of its
+	// answer to answered. It may be nil.
 	HeldParts func(ctx context.Context, address string, answered func(*http.Response)) ([]balance.Part, error)
-	// LogDropped returns how many log lines found no room.
+	// LogDropped returns how many log lines were dropped because the buffer was full.
 	LogDropped func() uint64
 }
 
 // Entry is a running router.
 type Entry struct {
 	settings settings.Settings
-	// bounds are the users' by the newest settings.
+	// bounds are the users' bounds in the newest settings.
 	bounds   atomic.Pointer[settings.Bounds]
-	outside  Environment
+	env      Environment
 	log      *event.Log
 	holder   *freshness.Holder
 	balancer *balance.Balancer
@@ -75,10 +76,10 @@
 	readiness *http.Server
 	operators *admin.Admin
 	listeners []net.Listener
-	// taker takes callers' connections.
-	taker *taker
+	// callerListener accepts callers' connections.
+	callerListener *retryListener
 
-	// accepted is closed once no further callers are accepted.
+	// accepted is closed once no more callers are accepted.
 	accepted chan struct{}
 
 	started  time.Time
@@ -92,8 +93,8 @@
 }
 
 // Start opens the listeners and begins to serve.
-func Start(s settings.Settings, outside Environment, log *event.Log) (*Entry, error) {
-	e := &Entry{settings: s, started: steady.Now(), outside: outside, log: log, accepted: make(chan struct{}), stop: make(chan struct{}), done: make(chan struct{})}
+func Start(s settings.Settings, env Environment, log *event.Log) (*Entry, error) {
+	e := &Entry{settings: s, started: steady.Now(), env: env, log: log, accepted: make(chan struct{}), stop: make(chan struct{}), done: make(chan struct{})}
 	e.bounds.Store(&s.Bounds)
 	e.killed, e.kill = context.WithCancel(context.Background())
 	if err := e.build(); err != nil {
@@ -117,9 +118,9 @@
 	e.balancer.DisableMechanisms(e.settings.Without)
 	period := readPeriod(b)
 	e.watcher = watch.New(e.source(e.settings), e.followOptions(e.settings),
-		directory.New(2*period, relistBeats*b.Heartbeat), e.holder, e.balancer, e.log)
+		directory.New(2*period, relistHeartbeats*b.Heartbeat), e.holder, e.balancer, e.log)
 	e.pool = upstream.New(upstream.Options{
-		IDHeader:       e.outside.Dialect.AttemptID,
+		IDHeader:       e.env.Dialect.AttemptID,
 		DialTimeout:    e.settings.Routes.Dial,
 		SilenceTimeout: e.settings.Routes.Silence,
 		IdleTime:       e.settings.Routes.Keep,
@@ -136,7 +137,7 @@
 		return fmt.Errorf("entry: %w", err)
 	}
 	e.front = front.New(front.Options{
-		Dialect:    e.outside.Dialect,
+		Dialect:    e.env.Dialect,
 		DataCentre: e.settings.DataCentre,
 		Limits:     frontLimits(b),
 		Poison:     e.poison,
@@ -163,14 +164,14 @@
 		ErrorLog:       e.log.Faults(event.HandlerFailed),
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+e.outside.ReadyPath, e.answerReady)
+	mux.HandleFunc("GET "+e.env.ReadyPath, e.answerReady)
 	e.readiness = &http.Server{Handler: mux, ReadHeaderTimeout: headerTime}
 	e.operators = admin.New(e.subject(), e.log, e.Stop)
 	return nil
 }
 
-// Reload takes changed settings. Names and addresses of a running process stay
-// as they are; a change of them is logged as waiting for the next start.
+// Reload applies changed settings. Names and addresses of a running process stay as they
+// are; a change of them is logged as needing a restart.
 func (e *Entry) Reload(s settings.Settings) {
 	restart := s.Name != e.settings.Name || s.DataCentre != e.settings.DataCentre || s.Listen != e.settings.Listen
 	e.watcher.Reconfigure(e.source(s), e.followOptions(s))
@@ -182,7 +183,7 @@
 	e.log.Write(event.SettingsReloaded, event.F("restart_needed", restart))
 }
 
-// place is this router's among those that it knows.
+// place returns this router's rank among the routers that it knows.
 func (e *Entry) place() turns.Place {
 	if e.gossip == nil || e.settings.Without.Has(mechanism.Rank) {
 		return turns.Place{Routers: 1}
@@ -190,7 +191,7 @@
 	return turns.Place{Rank: e.gossip.Rank(), Routers: e.gossip.MemberCount()}
 }
 
-// headerTime bounds a question for readiness.
+// headerTime bounds reading the header of a readiness probe.
 const headerTime = 5 * time.Second
 
 func (e *Entry) listen() error {
@@ -204,25 +205,25 @@
 		}
 		e.listeners = append(e.listeners, l)
 	}
-	e.taker = &taker{Listener: e.listeners[0], relieve: e.relieve}
+	e.callerListener = &retryListener{Listener: e.listeners[0], onExhausted: e.freeDescriptors}
 	return nil
 }
 
-// Addresses returns where callers and the balancer's questions are served.
+// Addresses returns the addresses that serve callers and readiness probes.
 func (e *Entry) Addresses() (callers, readiness string) {
 	return e.listeners[0].Addr().String(), e.listeners[1].Addr().String()
 }
 
-// Ready tells whether the router should get new connections.
+// Ready reports whether the router should get new connections.
 func (e *Entry) Ready() bool {
-	if e.stopping.Load() || !e.watcher.Initialized() || e.taker.starved(steady.Now()) {
+	if e.stopping.Load() || !e.watcher.Initialized() || e.callerListener.starved(steady.Now()) {
 		return false
 	}
-	return e.proven()
+	return e.proofFresh()
 }
 
-// relieve makes room for callers when there is no descriptor left.
-func (e *Entry) relieve(err error, first bool) {
+// freeDescriptors closes idle connections to replicas when no descriptor is left.
+func (e *Entry) freeDescriptors(err error, first bool) {
 	dropped := e.pool.DropIdle()
 	if !first {
 		return
@@ -230,8 +231,8 @@
 	e.log.Write(event.Exhausted, event.F("error", err), event.F("dropped", dropped), event.F("in_flight", e.front.ActiveRequests()))
 }
 
-// proven tells whether the configuration is proven to be new enough for keys.
-func (e *Entry) proven() bool {
+// proofFresh reports whether the proof of the configuration is new enough for keys.
+func (e *Entry) proofFresh() bool {
 	return e.watcher.Staleness(steady.Now()) < keyProof(*e.bounds.Load())
 }
 
@@ -243,13 +244,13 @@
 	fmt.Fprintln(w, "ready")
 }
 
-// Stop begins the planned stop.
+// Stop starts the planned stop.
 func (e *Entry) Stop() { e.stopOnce.Do(func() { close(e.stop) }) }
 
 // Kill cuts a stop short.
 func (e *Entry) Kill() { e.kill() }
 
-// Wait returns when the router has ended.
+// Wait blocks until the router has ended.
 func (e *Entry) Wait() error {
 	<-e.done
 	return e.err
@@ -275,11 +276,11 @@
 		return nil
 	})
 	work.Go(func() error {
-		e.tidy(ctx)
+		e.maintain(ctx)
 		return nil
 	})
 	work.Go(func() error {
-		steady.Watch(ctx, e.woke)
+		steady.Watch(ctx, e.handleResume)
 		return nil
 	})
 	select {
@@ -300,10 +301,10 @@
 		event.F("peers_sent", sent), event.F("peers_received", received), event.F("reads", reads), event.F("reads_failed", failed))
 }
 
-// serveCallers ends without an error once a stop closes the listener.
+// serveCallers returns no error when a stop closes the listener.
 func (e *Entry) serveCallers() error {
 	defer close(e.accepted)
-	err := serve(e.callers, e.conns.Listener(e.taker))
+	err := serve(e.callers, e.conns.Listener(e.callerListener))
 	if e.stopping.Load() && errors.Is(err, net.ErrClosed) {
 		return nil
 	}
@@ -317,19 +318,19 @@
 	return nil
 }
 
-// woke is called after the machine was suspended. What was known is old by then, by the
-// steady time, and is not acted on until it is proven again; connections that rested may
-// have ended meanwhile without a word.
-func (e *Entry) woke(slept time.Duration) {
+// handleResume is called after the machine was suspended. By the steady time, knowledge is
+// old by then and not acted on until it is proven again; idle connections may have ended
+// meanwhile unnoticed.
+func (e *Entry) handleResume(slept time.Duration) {
 	e.log.Write(event.Woke, event.F("slept_ms", slept.Milliseconds()), event.F("in_flight", e.front.ActiveRequests()))
 	e.front.RestartTimers()
 	e.pool.DropIdle()
 	e.watcher.TriggerRead()
 }
 
-// tidy writes when the router is first ready and closes connections that
-// rested too long.
-func (e *Entry) tidy(ctx context.Context) {
+// maintain logs changes of readiness and of the proof's freshness, and closes connections
+// that were idle too long.
+func (e *Entry) maintain(ctx context.Context) {
 	const pause = 500 * time.Millisecond
 	ticker := time.NewTicker(pause)
 	defer ticker.Stop()
@@ -344,7 +345,7 @@
 			ready = now
 			e.log.Write(event.Ready, event.F("ready", ready), event.F("proof_ms", e.watcher.Staleness(steady.Now()).Milliseconds()))
 		}
-		if now := e.proven(); now != proven && e.watcher.Initialized() {
+		if now := e.proofFresh(); now != proven && e.watcher.Initialized() {
 			proven = now
 			id := event.ProofOld
 			if proven {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -101,7 +101,7 @@
 	assert.Equal(t, http.StatusOK, status(t, "http://"+readiness+"/ready"))
 }
 
-func TestAPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopFinishesRequestsInFlight(t *testing.T) {
 	begun, finish := make(chan struct{}), make(chan struct{})
 	replica := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Try", r.Header.Get("Try"))
@@ -133,7 +133,7 @@
 	assert.Equal(t, http.StatusOK, <-answer)
 }
 
-func TestAStopThatTakesTooLongIsCutAndSaysSo(t *testing.T) {
+func TestStopCutsRequestsAtLimit(t *testing.T) {
 	begun := make(chan struct{})
 	replica := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(begun)
@@ -156,14 +156,14 @@
 	assert.ErrorIs(t, e.Wait(), ErrCut)
 }
 
-var page = regexp.MustCompile(`(?m)^\| (croftyard_[a-zA-Z_]+) \|`)
+var metricRow = regexp.MustCompile(`(?m)^\| (croftyard_[a-zA-Z_]+) \|`)
 
-// The page of metrics and what a router tells name the same.
-func TestEveryMetricIsInThePage(t *testing.T) {
+// The metrics page and the metrics endpoint name the same metrics.
+func TestMetricsMatchPage(t *testing.T) {
 	text, err := os.ReadFile("../../docs/METRICS.md")
 	require.NoError(t, err)
 	listed := make(map[string]bool)
-	for _, row := range page.FindAllStringSubmatch(string(text), -1) {
+	for _, row := range metricRow.FindAllStringSubmatch(string(text), -1) {
 		listed[row[1]] = true
 	}
 	e := start(t, &source{snapshot: served("127.0.0.1:1")}, time.Second)
@@ -187,7 +187,7 @@
 	assert.Equal(t, listed, seen)
 }
 
-func TestTheStateDump(t *testing.T) {
+func TestStateDump(t *testing.T) {
 	e := start(t, &source{snapshot: served("127.0.0.1:1")}, time.Second)
 	until(e.Ready)
 	state := e.State()
@@ -202,17 +202,17 @@
 	assert.Positive(t, state.Replicas[0].ExcludedMS)
 }
 
-func TestOnAFirstStartOnlyTheSeedsReadAtOnce(t *testing.T) {
+func TestFirstStartOnlySeedsReadAtOnce(t *testing.T) {
 	set := settings.Default()
 	set.Listen.Peers, set.Peers.Seeds = "10.0.0.1:1", []string{"10.0.0.1:1", "10.0.0.2:1"}
-	assert.Zero(t, firstRead(set), "a router that starts again reads at once")
+	assert.Zero(t, firstReadDelay(set), "a router that starts again reads at once")
 	set.Routes.FirstStart = true
-	assert.Zero(t, firstRead(set), "a seed")
+	assert.Zero(t, firstReadDelay(set), "a seed")
 	set.Listen.Peers = "10.0.0.3:1"
-	assert.Equal(t, firstReadWait, firstRead(set))
+	assert.Equal(t, firstReadWait, firstReadDelay(set))
 }
 
-func TestAShortTimeToEvacuateHasTheListReadMoreOften(t *testing.T) {
+func TestShortEvacuateBoundShortensReadPeriod(t *testing.T) {
 	b := settings.Default().Bounds
 	period, proof := readPeriod(b), frontLimits(b).MaxListAge
 	b.Evacuate = min(b.Apply, b.Drain) / 2
@@ -223,8 +223,8 @@
 	assert.Equal(t, proof, frontLimits(b).MaxListAge)
 }
 
-// Settings that are reloaded bound a stop from then on: the platform kills by them.
-func TestAStopGoesByTheNewestSettings(t *testing.T) {
+// Reloaded settings bound a later stop, because the platform kills by them.
+func TestStopUsesReloadedSettings(t *testing.T) {
 	e := start(t, &source{snapshot: served("127.0.0.1:1")}, time.Hour)
 	until(e.Ready)
 	changed := e.settings
--- a/internal/entry/poison.go
+++ b/internal/entry/poison.go
@@ -12,7 +12,7 @@
 	return poison.Limits{Crashes: r.Crashes, Hold: r.CrashHold}
 }
 
-// newPoison returns a memory of marks against requests whose changes are logged.
+// newPoison returns a tracker of requests that crash replicas, and logs its changes.
 func newPoison(r settings.Routes, log *event.Log) *poison.Tracker {
 	return poison.New(poison.Options{
 		Limits: poisonLimits(r),
--- a/internal/entry/recall.go
+++ b/internal/entry/recall.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// peerWait is how long a router that starts waits to meet another one: a
-	// first packet that is lost is sent again after a second.
+	// peerWait is how long a starting router waits to meet a peer: a lost first packet is
+	// sent again after a second.
 	peerWait = 1500 * time.Millisecond
-	// recallWait is how long it then waits for one that remembers, and for all
-	// to know of each other.
+	// recallWait is how long it then waits for a peer that knows the holders, and for all
+	// routers to know of each other.
 	recallWait = 350 * time.Millisecond
-	// heldTimeout bounds one question to an engine.
+	// heldTimeout bounds one query to an engine.
 	heldTimeout = time.Second
 )
 
-// recall learns who holds which parts of prompts after a start. A peer that has
-// run for longer knows; when all routers started anew, the engines are asked,
-// each by one router, which tells the others.
+// recall learns after a start who holds which parts of prompts. A peer that has run for
+// longer knows; if all routers restarted, each engine is asked by one router, which tells
+// the others.
 func (e *Entry) recall(ctx context.Context) {
-	if e.settings.Routes.FirstStart || e.outside.HeldParts == nil || e.settings.Without.Has(mechanism.Recall) {
+	if e.settings.Routes.FirstStart || e.env.HeldParts == nil || e.settings.Without.Has(mechanism.Recall) {
 		e.gossip.SetHoldersKnown()
 		return
 	}
@@ -52,21 +52,21 @@
 			continue
 		}
 		if _, excluded := e.front.Exclusion(r.ID, steady.Now()); !excluded && e.gossip.OwnsTask(r.ID) {
-			go e.askHeld(ctx, r)
+			go e.fetchHeldParts(ctx, r)
 		}
 	}
 }
 
-func (e *Entry) askHeld(ctx context.Context, r directory.Replica) {
+func (e *Entry) fetchHeldParts(ctx context.Context, r directory.Replica) {
 	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
 	defer cancel()
 	sent := steady.Now()
-	parts, err := e.outside.HeldParts(ctx, r.Address, func(answer *http.Response) { e.front.RecordRest(r.ID, sent, answer) })
+	parts, err := e.env.HeldParts(ctx, r.Address, func(answer *http.Response) { e.front.RecordRest(r.ID, sent, answer) })
 	e.log.Write(event.EngineAsked, event.F("replica", r.ID), event.F("parts", len(parts)), event.F("error", err))
 	e.balancer.PartsReported(r.ID, parts, steady.Now())
 }
 
-// waitUntil waits for a condition and tells whether it came before ctx ended.
+// waitUntil polls a condition and reports whether it held before ctx ended.
 func (e *Entry) waitUntil(ctx context.Context, condition func() bool) bool {
 	const pause = 20 * time.Millisecond
 	ticker := time.NewTicker(pause)
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -9,37 +9,36 @@
 	"github.com/croftyard/croftyard/internal/steady"
 )
 
-// Parts of the grace time of a planned stop.
+// Fractions of the grace time of a planned stop.
 const (
-	// serveOnPart is how long new connections come at least: the balancer asks each
-	// second and needs two misses.
-	serveOnPart = 0.375
-	// restPart is how long connections that rest are left open. A caller that uses
-	// one within this time is told in the answer not to use it again; one that sends
-	// a request just as its connection is closed gets no answer, so the fewer are
-	// left the better.
-	restPart = 0.8
-	// cutPart is when what is still in flight is cut.
-	cutPart = 0.92
-	// tellPart is for how long those that are cut are told so.
-	tellPart = 0.03
+	// minServeFraction is the least time in which new connections are served: the
+	// balancer probes each second and needs two misses.
+	minServeFraction = 0.375
+	// idleCloseFraction is how long idle connections are left open. A caller that uses one
+	// within this time is told in the answer not to use it again; one that sends a request just as
+	// its connection is closed gets no answer, so the fewer are left the better.
+	idleCloseFraction = 0.8
+	// cutFraction is when requests still in flight are cut.
+	cutFraction = 0.92
+	// notifyFraction is how long callers whose requests are cut may take to receive the error.
+	notifyFraction = 0.03
 )
 
-// shutDown ends the service within the users' grace time.
+// shutDown stops serving within the users' grace time.
 func (e *Entry) shutDown() error {
 	asked := steady.Now()
 	grace := e.bounds.Load().Grace
 	e.log.Write(event.Draining, event.F("in_flight", e.front.ActiveRequests()), event.F("connections", e.conns.Open()))
 	e.stopping.Store(true)
-	e.front.BeginShutdown(asked.Add(part(grace, serveOnPart)), asked.Add(part(grace, cutPart)))
+	e.front.BeginShutdown(asked.Add(fraction(grace, minServeFraction)), asked.Add(fraction(grace, cutFraction)))
 	e.gossip.Leave()
-	limit, cancel := context.WithTimeout(e.killed, steady.Until(asked.Add(part(grace, cutPart))))
+	limit, cancel := context.WithTimeout(e.killed, steady.Until(asked.Add(fraction(grace, cutFraction))))
 	defer cancel()
 	select {
-	case <-time.After(part(grace, serveOnPart)):
+	case <-time.After(fraction(grace, minServeFraction)):
 	case <-limit.Done():
 	}
-	e.waitForCallers(limit, asked.Add(part(grace, restPart)))
+	e.waitForCallers(limit, asked.Add(fraction(grace, idleCloseFraction)))
 	e.endListening(limit)
 	ended, err := e.conns.Drain(limit)
 	e.log.Write(event.CallersEnded, event.F("closed_at_rest", ended.Closed), event.F("found_unread", ended.Unread),
@@ -50,31 +49,31 @@
 	return e.cutCallers(err)
 }
 
-// waitForCallers serves on until no connection is open, or until a time. A
+// waitForCallers keeps serving until no connection is open or the time until is reached. A
 // connection ends with its next answer, so callers leave by themselves.
 func (e *Entry) waitForCallers(limit context.Context, until time.Time) {
 	ctx, cancel := context.WithTimeout(limit, steady.Until(until))
 	defer cancel()
-	// What is left then is closed as it comes to rest.
+	// Connections still open then are closed as they become idle.
 	_ = e.conns.Wait(ctx)
 }
 
-// endListening closes the callers' listener once nothing lies in its queue. What was
-// accepted by then belongs to the set when it returns.
+// endListening closes the callers' listener once its queue is empty. Connections accepted
+// by then belong to the set when it returns.
 func (e *Entry) endListening(limit context.Context) {
-	// At the limit what is left is closed over.
+	// At the limit the listener is closed with connections still queued.
 	_ = e.conns.WaitAccepted(limit)
 	e.listeners[0].Close()
 	<-e.accepted
 }
 
-// cutCallers ends what is in flight. Callers whose answer has not begun are told.
+// cutCallers cancels requests in flight. Callers whose answer has not begun get an error.
 func (e *Entry) cutCallers(cause error) error {
 	e.log.Write(event.DrainCut, event.F("in_flight", e.front.ActiveRequests()))
 	e.front.CancelInFlight()
-	ctx, cancel := context.WithTimeout(context.Background(), part(e.bounds.Load().Grace, tellPart))
+	ctx, cancel := context.WithTimeout(context.Background(), fraction(e.bounds.Load().Grace, notifyFraction))
 	defer cancel()
-	// Who has not taken the word by then is cut without it.
+	// Callers that have not received the error by then are cut without it.
 	_, _ = e.conns.Drain(ctx)
 	return fmt.Errorf("%w: %w", ErrCut, cause)
 }
--- a/internal/entry/subject.go
+++ b/internal/entry/subject.go
@@ -21,7 +21,7 @@
 	Replicas   []ReplicaState `json:"replicas"`
 }
 
-// ReplicaState is what is believed of one replica.
+// ReplicaState is what the router believes of one replica.
 type ReplicaState struct {
 	ID         string `json:"id"`
 	Service    string `json:"service"`
@@ -29,8 +29,8 @@
 	DataCentre string `json:"data_centre"`
 	Draining   bool   `json:"draining"`
 	Suspected  bool   `json:"suspected"`
-	// Excluded is why it gets no new requests, empty if it may get some; ExcludedMS for how
-	// long on, 0 if that is not known.
+	// Excluded is why it gets no new requests, empty if it may get some; ExcludedMS is for
+	// how much longer, 0 if that is not known.
 	Excluded   string `json:"excluded,omitempty"`
 	ExcludedMS int64  `json:"excluded_ms,omitempty"`
 }
@@ -66,7 +66,7 @@
 	return s
 }
 
-// proofAge is the age of the proof, or -1 ms while nothing is known.
+// proofAge returns the age of the proof, or -1 ms while nothing is known.
 func (e *Entry) proofAge(now time.Time) time.Duration {
 	if !e.watcher.Initialized() {
 		return -time.Millisecond
@@ -74,7 +74,7 @@
 	return e.watcher.Staleness(now)
 }
 
-// subject shows the router to its operators.
+// subject exposes the router to its operators.
 func (e *Entry) subject() admin.Subject {
 	return admin.Subject{State: func() any { return e.State() }, Registry: e.metrics.Registry, Gauges: e.gauges}
 }
@@ -105,6 +105,6 @@
 		{Name: "croftyard_poison_held", Value: float64(held)},
 		{Name: "croftyard_front_active", Value: float64(e.front.ActiveRequests())},
 		{Name: "croftyard_front_connections_idle", Value: float64(e.pool.Idle())},
-		{Name: "croftyard_log_lines_dropped", Value: float64(e.outside.LogDropped())},
+		{Name: "croftyard_log_lines_dropped", Value: float64(e.env.LogDropped())},
 	}
 }
