--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -25,9 +25,9 @@
 var (
 	// ErrHistory: the changes since the last read can't be told any more.
 	ErrHistory = errors.New("records: changes no longer known")
-	// ErrMixed: the store came back from a copy amid a read, whose answers so are of two
+	// ErrMixedGenerations: the store came back from a copy amid a read, whose answers so are of two
 	// generations. The next read is of one.
-	ErrMixed = errors.New("records: answers of two generations")
+	ErrMixedGenerations = errors.New("records: answers of two generations")
 )
 
 // Record is a key with its value.
@@ -133,7 +133,7 @@
 			list.Origin = part.Origin
 		}
 		if part.Generation != list.Generation {
-			return nil, ErrMixed
+			return nil, ErrMixedGenerations
 		}
 		list.Records = append(list.Records, part.Records...)
 		most = max(most, pages)
@@ -154,7 +154,7 @@
 		return nil, err
 	}
 	if part.Generation != list.Generation {
-		return nil, ErrMixed
+		return nil, ErrMixedGenerations
 	}
 	record := part.Find(key)
 	if record != nil {
@@ -176,7 +176,7 @@
 			list.Origin = p.Origin
 		}
 		if p.Generation != list.Generation {
-			return 0, nil, ErrMixed
+			return 0, nil, ErrMixedGenerations
 		}
 		list.Records = append(list.Records, p.Records...)
 		if !p.More || len(p.Records) == 0 || p.Records[len(p.Records)-1].Key == after {
@@ -219,7 +219,7 @@
 	for range maxChangePages {
 		since, _ := r.kept.since()
 		if since.Generation != now.Generation {
-			return nil, ErrMixed
+			return nil, ErrMixedGenerations
 		}
 		if since.At >= now.At {
 			return r.kept.list(), nil
