--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -23,8 +23,8 @@
 )
 
 var (
-	// ErrHistory: the changes since the last read can't be told any more.
-	ErrHistory = errors.New("records: changes no longer known")
+	// ErrHistoryUnavailable: the changes since the last read can't be told any more.
+	ErrHistoryUnavailable = errors.New("records: changes no longer known")
 	// ErrMixedGenerations: the store came back from a copy amid a read, whose answers so are of two
 	// generations. The next read is of one.
 	ErrMixedGenerations = errors.New("records: answers of two generations")
@@ -100,7 +100,7 @@
 // All returns all records, or of a long list that was begun without them all but some.
 func (r *Reader) All(ctx context.Context) (*List, error) {
 	list, err := r.renewed(ctx)
-	if !errors.Is(err, ErrHistory) {
+	if !errors.Is(err, ErrHistoryUnavailable) {
 		return list, err
 	}
 	pages, list, err := r.read(ctx, "")
@@ -120,7 +120,7 @@
 // list.
 func (r *Reader) Some(ctx context.Context, prefixes ...string) (*List, error) {
 	list, err := r.renewed(ctx)
-	if !errors.Is(err, ErrHistory) {
+	if !errors.Is(err, ErrHistoryUnavailable) {
 		return list, err
 	}
 	list, most := &List{}, 0
@@ -206,7 +206,7 @@
 func (r *Reader) renewed(ctx context.Context) (*List, error) {
 	had, known := r.kept.since()
 	if !known {
-		return nil, ErrHistory
+		return nil, ErrHistoryUnavailable
 	}
 	now, err := r.page(ctx, r.least, "")
 	if err != nil {
@@ -214,7 +214,7 @@
 	}
 	if now.Generation != had.Generation || now.At < had.At {
 		r.kept.drop(had)
-		return nil, fmt.Errorf("%w: kept %v, now %v", ErrHistory, had, now.Origin)
+		return nil, fmt.Errorf("%w: kept %v, now %v", ErrHistoryUnavailable, had, now.Origin)
 	}
 	for range maxChangePages {
 		since, _ := r.kept.since()
@@ -228,7 +228,7 @@
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("%w: over %d answers", ErrHistory, maxChangePages)
+	return nil, fmt.Errorf("%w: over %d answers", ErrHistoryUnavailable, maxChangePages)
 }
 
 // change takes the changes since what is kept.
@@ -239,7 +239,7 @@
 	}
 	c.Generation = r.newest.named(c.Generation)
 	if c.Generation != since.Generation || c.At <= since.At {
-		return fmt.Errorf("%w: %v after %v", ErrHistory, c.Origin, since)
+		return fmt.Errorf("%w: %v after %v", ErrHistoryUnavailable, c.Origin, since)
 	}
 	r.kept.apply(c.Changes, c.Origin)
 	return nil
