--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -93,9 +93,9 @@
 // NewReader returns a reader of a store in which few records begin with a prefix.
 func NewReader(s Store, least string) *Reader { return &Reader{store: s, least: least} }
 
-// Doubts returns how often the store came back from a copy without saying so, and whether
+// Anomalies returns how often the store came back from a copy without saying so, and whether
 // it does no more say which generation it is.
-func (r *Reader) Doubts() (falls uint64, untold bool) { return r.newest.doubts() }
+func (r *Reader) Anomalies() (falls uint64, untold bool) { return r.newest.doubts() }
 
 // All returns all records, or of a long list that was begun without them all but some.
 func (r *Reader) All(ctx context.Context) (*List, error) {
