--- a/internal/records/kept_test.go
+++ b/internal/records/cache_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Two reads run beside each other, and the one that was answered first may be taken
-// last.
-func TestChangesThatComeLateTakeNothingBack(t *testing.T) {
+// Guards against reverting newer records: of two concurrent reads, the one that was
+// answered first may be applied last.
+func TestLateChangesDoNotRevertNewerRecords(t *testing.T) {
 	put := func(key string, revision uint64) Change { return Change{Record: Record{Key: key, Revision: revision}} }
 	gone := func(key string, revision uint64) Change {
 		return Change{Record: Record{Key: key, Revision: revision}, Gone: true}
@@ -23,14 +23,14 @@
 	}
 	for name, order := range tests {
 		t.Run(name, func(t *testing.T) {
-			var k kept
+			var k recordCache
 			k.replace([]*Record{{Key: "a", Revision: 12}}, Origin{At: 10})
 			for _, n := range order {
 				k.apply(slices.Clone(all[:n]), Origin{At: all[n-1].Revision})
 			}
 			assert.Equal(t, []string{"a", "c"}, slices.Sorted(maps.Keys(k.records)))
-			of, _ := k.since()
-			assert.EqualValues(t, 14, of.At)
+			origin, _ := k.origin()
+			assert.EqualValues(t, 14, origin.At)
 		})
 	}
 }
--- a/internal/records/origin.go
+++ b/internal/records/origin.go
@@ -2,63 +2,67 @@
 
 import "sync"
 
-// Origin is what an answer is of. Revisions of two generations can't be compared.
+// Origin is the store generation and revision that a response reflects. Revisions of
+// different generations can't be compared.
 type Origin struct {
-	// Generation rises when the store comes back from a copy; 0: it does not say.
+	// Generation increases when the store is restored from a copy; 0 if not reported.
 	Generation uint64
-	At         uint64
+	// At is the revision.
+	At uint64
 }
 
-// newest is what answers were of at the latest. It is safe for concurrent use.
-type newest struct {
-	mu sync.Mutex
-	of Origin
-	// falls counts how often the revision fell within one generation: the store came
-	// back from a copy and did not say so.
-	falls uint64
-	// untold: the last answer told no generation, though earlier ones did.
-	untold bool
+// originTracker tracks the latest origin seen in responses. It is safe for concurrent use.
+type originTracker struct {
+	mu     sync.Mutex
+	latest Origin
+	// How often the revision decreased within one generation, because the store was
+	// restored from a copy without reporting it.
+	revisionDrops uint64
+	// Whether the last response lacked a generation though earlier ones had one.
+	generationMissing bool
 }
 
-// before returns what is known before a call is sent.
-func (n *newest) before() Origin {
+// current returns the latest known origin, to be read before a call is sent.
+func (n *originTracker) current() Origin {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.of
+	return n.latest
 }
 
-// doubts returns how often the revision fell, and whether the last answer told no
-// generation though earlier ones did.
-func (n *newest) doubts() (falls uint64, untold bool) {
+// anomalies returns how often the revision decreased within a generation, and whether the
+// last response lacked a generation though earlier ones had one.
+func (n *originTracker) anomalies() (revisionDrops uint64, generationMissing bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.falls, n.untold
+	return n.revisionDrops, n.generationMissing
 }
 
-// named returns the generation of an answer: one that tells none is of the newest known.
-func (n *newest) named(generation uint64) uint64 {
+// resolveGeneration returns the generation of a response. A response without one is taken
+// to be of the latest known generation.
+func (n *originTracker) resolveGeneration(generation uint64) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.untold = generation == 0 && n.of.Generation != 0
-	if n.untold {
-		return n.of.Generation
+	n.generationMissing = generation == 0 && n.latest.Generation != 0
+	if n.generationMissing {
+		return n.latest.Generation
 	}
 	return generation
 }
 
-// take notes what an answer is of that was asked for when before was known. Answers may
-// come out of their order, so only what was known when it was sent tells that one fell.
-func (n *newest) take(of, before Origin) {
+// observe records the origin of a response; before is the origin known when its request
+// was sent. Responses may arrive out of order, so only a revision below before's shows
+// that the revision decreased.
+func (n *originTracker) observe(origin, before Origin) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case of.Generation > n.of.Generation:
-		n.of = of
-	case of.Generation < n.of.Generation:
-	case of.At < before.At && before.Generation == of.Generation:
-		n.of.At = of.At
-		n.falls++
+	case origin.Generation > n.latest.Generation:
+		n.latest = origin
+	case origin.Generation < n.latest.Generation:
+	case origin.At < before.At && before.Generation == origin.Generation:
+		n.latest.At = origin.At
+		n.revisionDrops++
 	default:
-		n.of.At = max(n.of.At, of.At)
+		n.latest.At = max(n.latest.At, origin.At)
 	}
 }
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,19 +1,19 @@
-// Package records reads the records of a key-value store as they are now, with few calls.
+// Package records reads the current records of a key-value store with few calls.
 //
-// What fits one page is read whole each time. A longer list is read whole once, and then
-// what has changed in it:
+// A list that fits one page is read in full each time. A longer list is read in full once
+// and then updated incrementally:
 //
 //	page of a few records     ->  the store's revision
 //	changes since the last    ->  what changed up to that revision, or later
 //
-// The first answer is the newest, as each of the store's is that is not asked to be
-// stale: all that was accepted before it was sent is in the changes up to its revision.
-// So both together prove what a whole read does, and while nothing changes a reader takes one
-// small answer instead of the pages of the whole list.
+// The first response is current, as is every response of the store unless a stale read is
+// requested: the changes up to its revision include every write accepted before it was
+// sent. So the two calls together give the same guarantee as a full read, and while
+// nothing changes a reader fetches one small response instead of every page.
 //
-// The store may come back from a copy that is some seconds old, in a new generation: its
-// revisions are given out again, so that nothing of one generation is compared with
-// another.
+// The store may be restored, in a new generation, from a copy that is some seconds old. It
+// then issues the same revisions again, so revisions of different generations are never
+// compared.
 package records
 
 import (
@@ -23,11 +23,12 @@
 )
 
 var (
-	// ErrHistoryUnavailable: the changes since the last read can't be told any more.
-	ErrHistoryUnavailable = errors.New("records: changes no longer known")
-	// ErrMixedGenerations: the store came back from a copy amid a read, whose answers so are of two
-	// generations. The next read is of one.
-	ErrMixedGenerations = errors.New("records: answers of two generations")
+	// ErrHistoryUnavailable means that the changes since the last read are no longer
+	// available.
+	ErrHistoryUnavailable = errors.New("records: change history is no longer available")
+	// ErrMixedGenerations means that the store was restored from a copy during a read, so
+	// that its responses are of two generations. The next read sees only one.
+	ErrMixedGenerations = errors.New("records: responses are of two generations")
 )
 
 // Record is a key with its value.
@@ -37,41 +38,42 @@
 	Revision uint64
 }
 
-// Change is a record as it was written, or a key that is gone.
+// Change is a written record or a deleted key.
 type Change struct {
 	Record
 	Gone bool
 }
 
-// Page is what a call for records returns.
+// Page is one page of records. More reports whether further pages follow.
 type Page struct {
 	Records []*Record
 	More    bool
 	Origin
 }
 
-// Changes is what a call for changes returns.
+// Changes holds the changes up to an origin.
 type Changes struct {
 	Changes []Change
 	Origin
 }
 
-// Store makes the calls.
+// Store is the client of the key-value store.
 type Store interface {
-	// Page returns records in the order of their keys, of those that begin with a prefix
-	// and come behind a key.
+	// Page returns, sorted by key, records whose keys begin with prefix and sort after
+	// the given key.
 	Page(ctx context.Context, prefix, after string) (Page, error)
-	// Changes returns the changes since a revision, or ErrHistory.
+	// Changes returns the changes since a revision, or ErrHistoryUnavailable.
 	Changes(ctx context.Context, since uint64) (Changes, error)
 }
 
-// List is what a read returned. One that is returned again has not changed.
+// List is the result of a read. If a read returns the same pointer again, the list has not
+// changed.
 type List struct {
 	Records []*Record
 	Origin
 }
 
-// Find returns the record of a key, nil if there is none.
+// Find returns the record of a key, or nil if there is none.
 func (l *List) Find(key string) *Record {
 	for _, r := range l.Records {
 		if r.Key == key {
@@ -83,49 +85,55 @@
 
 // Reader reads from a store. It is safe for concurrent use.
 type Reader struct {
-	store  Store
-	newest newest
-	kept   kept
-	// least is a prefix of few records, whose page tells the store's revision.
-	least string
+	store   Store
+	tracker originTracker
+	cache   recordCache
+	// A prefix with few records, whose page is read to learn the store's revision.
+	probePrefix string
 }
 
-// NewReader returns a reader of a store in which few records begin with a prefix.
-func NewReader(s Store, least string) *Reader { return &Reader{store: s, least: least} }
+// NewReader returns a reader that learns the store's revision by reading the records under
+// probePrefix, of which there should be few.
+func NewReader(s Store, probePrefix string) *Reader {
+	return &Reader{store: s, probePrefix: probePrefix}
+}
 
-// Anomalies returns how often the store came back from a copy without saying so, and whether
-// it does no more say which generation it is.
-func (r *Reader) Anomalies() (falls uint64, untold bool) { return r.newest.doubts() }
+// Anomalies returns how often the store was restored from a copy without reporting it, and
+// whether it has stopped reporting its generation.
+func (r *Reader) Anomalies() (revisionDrops uint64, generationMissing bool) {
+	return r.tracker.anomalies()
+}
 
-// All returns all records, or of a long list that was begun without them all but some.
+// All returns all records, except that a cached list that a call to Some started may lack
+// some of them.
 func (r *Reader) All(ctx context.Context) (*List, error) {
-	list, err := r.renewed(ctx)
+	list, err := r.refresh(ctx)
 	if !errors.Is(err, ErrHistoryUnavailable) {
 		return list, err
 	}
-	pages, list, err := r.read(ctx, "")
+	pages, list, err := r.readPrefix(ctx, "")
 	if err != nil {
 		return nil, err
 	}
 	if pages == 1 {
-		r.kept.replace(nil, list.Origin)
+		r.cache.replace(nil, list.Origin)
 		return list, nil
 	}
-	return r.kept.replace(list.Records, list.Origin), nil
+	return r.cache.replace(list.Records, list.Origin), nil
 }
 
-// Some returns the records that begin with one of some prefixes, of which the first is the
-// one of most, or more than those. If they are long they are kept: a router that was told
-// all by others would else take all of it again each time that a request wants a newer
-// list.
+// Some returns at least the records whose keys begin with one of the prefixes; the prefix
+// with the most records comes first. A result longer than one page is cached: otherwise a
+// router that learned the full list from its peers would fetch everything again each time
+// a request needs a newer list.
 func (r *Reader) Some(ctx context.Context, prefixes ...string) (*List, error) {
-	list, err := r.renewed(ctx)
+	list, err := r.refresh(ctx)
 	if !errors.Is(err, ErrHistoryUnavailable) {
 		return list, err
 	}
-	list, most := &List{}, 0
+	list, maxPages := &List{}, 0
 	for i, prefix := range prefixes {
-		pages, part, err := r.read(ctx, prefix)
+		pages, part, err := r.readPrefix(ctx, prefix)
 		if err != nil {
 			return nil, err
 		}
@@ -136,20 +144,20 @@
 			return nil, ErrMixedGenerations
 		}
 		list.Records = append(list.Records, part.Records...)
-		most = max(most, pages)
+		maxPages = max(maxPages, pages)
 	}
-	if most > 1 {
-		r.kept.start(list.Records, list.Origin)
+	if maxPages > 1 {
+		r.cache.setIfEmpty(list.Records, list.Origin)
 	}
 	return list, nil
 }
 
-// One returns the record of a key as of a list or later, nil if there is none.
+// One returns the record of a key as of list or later, or nil if there is none.
 func (r *Reader) One(ctx context.Context, key string, list *List) (*Record, error) {
 	if record := list.Find(key); record != nil {
 		return record, nil
 	}
-	_, part, err := r.read(ctx, key)
+	_, part, err := r.readPrefix(ctx, key)
 	if err != nil {
 		return nil, err
 	}
@@ -158,17 +166,17 @@
 	}
 	record := part.Find(key)
 	if record != nil {
-		r.kept.add(record, part.Origin)
+		r.cache.add(record, part.Origin)
 	}
 	return record, nil
 }
 
-// read reads the records that begin with a prefix, page by page, and returns how many
-// pages there were. The list is as of the first.
-func (r *Reader) read(ctx context.Context, prefix string) (pages int, list *List, err error) {
+// readPrefix reads the records whose keys begin with prefix and returns the number of
+// pages. The list has the origin of the first page.
+func (r *Reader) readPrefix(ctx context.Context, prefix string) (pages int, list *List, err error) {
 	list = &List{}
 	for after := ""; ; {
-		p, err := r.page(ctx, prefix, after)
+		p, err := r.fetchPage(ctx, prefix, after)
 		if err != nil {
 			return 0, nil, err
 		}
@@ -186,61 +194,62 @@
 	}
 }
 
-// page reads one page.
-func (r *Reader) page(ctx context.Context, prefix, after string) (Page, error) {
-	before := r.newest.before()
+// fetchPage fetches one page and observes its origin.
+func (r *Reader) fetchPage(ctx context.Context, prefix, after string) (Page, error) {
+	before := r.tracker.current()
 	p, err := r.store.Page(ctx, prefix, after)
 	if err != nil {
 		return Page{}, err
 	}
-	p.Generation = r.newest.named(p.Generation)
-	r.newest.take(p.Origin, before)
+	p.Generation = r.tracker.resolveGeneration(p.Generation)
+	r.tracker.observe(p.Origin, before)
 	return p, nil
 }
 
-// maxChangePages bounds the answers that one read of changes takes: with more, all is
-// read anew.
+// maxChangePages limits the responses that one refresh fetches. If more are needed, the
+// list is read again in full.
 const maxChangePages = 8
 
-// renewed returns a long list that was read before as it is now, or ErrHistory.
-func (r *Reader) renewed(ctx context.Context) (*List, error) {
-	had, known := r.kept.since()
+// refresh brings the cached list up to date and returns it. It returns
+// ErrHistoryUnavailable if nothing is cached or the changes are not available.
+func (r *Reader) refresh(ctx context.Context) (*List, error) {
+	had, known := r.cache.origin()
 	if !known {
 		return nil, ErrHistoryUnavailable
 	}
-	now, err := r.page(ctx, r.least, "")
+	now, err := r.fetchPage(ctx, r.probePrefix, "")
 	if err != nil {
 		return nil, err
 	}
 	if now.Generation != had.Generation || now.At < had.At {
-		r.kept.drop(had)
-		return nil, fmt.Errorf("%w: kept %v, now %v", ErrHistoryUnavailable, had, now.Origin)
+		r.cache.drop(had)
+		return nil, fmt.Errorf("%w: cached origin %v, store is at %v", ErrHistoryUnavailable, had, now.Origin)
 	}
 	for range maxChangePages {
-		since, _ := r.kept.since()
+		since, _ := r.cache.origin()
 		if since.Generation != now.Generation {
 			return nil, ErrMixedGenerations
 		}
 		if since.At >= now.At {
-			return r.kept.list(), nil
+			return r.cache.list(), nil
 		}
-		if err := r.change(ctx, since); err != nil {
+		if err := r.fetchChanges(ctx, since); err != nil {
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("%w: over %d answers", ErrHistoryUnavailable, maxChangePages)
+	return nil, fmt.Errorf("%w: more than %d responses needed", ErrHistoryUnavailable, maxChangePages)
 }
 
-// change takes the changes since what is kept.
-func (r *Reader) change(ctx context.Context, since Origin) error {
+// fetchChanges fetches the changes since an origin and applies them to the cache.
+func (r *Reader) fetchChanges(ctx context.Context, since Origin) error {
 	c, err := r.store.Changes(ctx, since.At)
 	if err != nil {
 		return err
 	}
-	c.Generation = r.newest.named(c.Generation)
+	c.Generation = r.tracker.resolveGeneration(c.Generation)
 	if c.Generation != since.Generation || c.At <= since.At {
-		return fmt.Errorf("%w: %v after %v", ErrHistoryUnavailable, c.Origin, since)
+		return fmt.Errorf("%w: received %v after %v", ErrHistoryUnavailable, c.Origin, since)
 	}
-	r.kept.apply(c.Changes, c.Origin)
+	r.cache.apply(c.Changes, c.Origin)
 	return nil
 }
