--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -246,7 +246,7 @@
 		event.F("version", c.version), event.F("proof_ms", f.watcher.Staleness(steady.Now()).Milliseconds()))
 }
 
-// routeName returns the routeName of the route, or "" if none was found.
+// routeName returns the name of the route, or "" if none was found.
 func (c *call) routeName() string {
 	if c.route == nil {
 		return ""
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -123,7 +123,7 @@
 }
 
 // Some returns at least the records whose keys begin with one of the prefixes; the prefix
-// with the most records comes first. A result longer than one page is cached: otherwise a
+// with the most records comes first. A prefix longer than one page is cached: otherwise a
 // router that learned the full list from its peers would fetch everything again each time
 // a request needs a newer list.
 func (r *Reader) Some(ctx context.Context, prefixes ...string) (*List, error) {
